--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,6 +1,8 @@
-// Package agent is the process beside one endpoint and its only gate: it
-// grants leases on engine memory, starts calls, cancels, drains and gives
-// orders. Entries may hold stale opinions; what the agent says is so.
+// Package agent implements the daemon beside one endpoint, through which all
+// work for that endpoint passes. It grants leases on the endpoint's capacity,
+// starts and cancels calls, drains the endpoint, and sends engines their
+// orders. Entries may act on stale views; the agent's decision is
+// authoritative.
 package agent
 
 import (
@@ -19,137 +21,142 @@
 	"ebonypulley/wire"
 )
 
-// Settings of an agent process.
+// Settings configures an agent process.
 type Settings struct {
-	// Name is that of the declared endpoint.
+	// Name is the name of the declared endpoint.
 	Name string `json:"name"`
-	// DataCentre is where the VM stands.
+	// DataCentre is the data centre of the VM.
 	DataCentre string `json:"data_centre"`
 	// Listen is the IP:port that entries connect to.
 	Listen string `json:"listen"`
-	// Debug is the IP:port of expvar; empty for none.
+	// Debug is the IP:port that serves expvar; empty disables it.
 	Debug string `json:"debug"`
-	// ConfigService is read when no entry has connected for a while; empty
-	// for never.
+	// ConfigService is the URL of the configuration service, which is read when
+	// no entry has sent a heartbeat for a while; empty disables this.
 	ConfigService string `json:"config_service"`
 }
 
-// Timing of the agent's own loop.
+// Timings and limits of the agent's connections and its tick loop.
 const (
 	tickInterval = 25 * time.Millisecond
-	// pauseAllowed is the longest gap between ticks that is no pause.
-	pauseAllowed = time.Second
-	// pauseGrace is the time to read the heartbeats that arrived meanwhile.
-	pauseGrace = time.Second
-	helloWait  = 5 * time.Second
-	// sessionSilence ends a connection that its entry does not use any more.
-	sessionSilence = 10 * time.Second
-	maxSessions    = 4096
+	// pauseThreshold is the longest gap between ticks that is not reported as a
+	// pause of the process.
+	pauseThreshold = time.Second
+	// pauseGrace is the time allowed after a pause for reading the heartbeats
+	// that arrived during it.
+	pauseGrace   = time.Second
+	helloTimeout = 5 * time.Second
+	// sessionIdleTimeout is after how long without a message a connection
+	// counts as abandoned by its entry and is closed.
+	sessionIdleTimeout = 10 * time.Second
+	maxSessions        = 4096
 )
 
-// worker does the work of the endpoint's role. All methods are called with
+// worker performs the work of the endpoint's role. All methods are called with
 // the agent's lock held and must not block.
 type worker interface {
-	// handle takes an attempt's message.
+	// handle processes a message of an attempt.
 	handle(s *session, m wire.Attempted)
-	// granted tells that a waiting attempt now holds a lease.
+	// granted is called when a waiting attempt gets its lease.
 	granted(id wire.ID)
-	// dropped tells that a waiting attempt was refused.
-	dropped(id wire.ID, reason wire.Reason)
-	// expired tells that a lease ended without its holder; the worker frees
-	// the endpoint and then releases the lease.
+	// waitEnded is called when a waiting attempt is refused.
+	waitEnded(id wire.ID, reason wire.Reason)
+	// expired is called when a lease ends because its holder sent no heartbeat
+	// in time or its deadline passed. The worker frees the endpoint's
+	// resources, then releases the lease.
 	expired(id wire.ID)
-	// tick does what time demands.
+	// tick performs the work that depends on time.
 	tick(now time.Time)
-	// backlog returns the queued work in tokens.
+	// backlog returns the number of queued prompt tokens.
 	backlog() int
-	// idle reports whether nothing is left to deliver.
+	// idle reports whether no result or answer is left to deliver.
 	idle() bool
-	// pending describes what is left, for the log.
+	// pending describes the work that is left, for the log.
 	pending() string
 }
 
 var _ ebonypulley.Daemon = (*Agent)(nil)
 
-// Agent is the daemon. Create it with New.
+// Agent is the agent daemon. Create it with New.
 type Agent struct {
-	set Settings
-	log *event.Log
-	inc wire.Incarnation
-	// fence is the fencing number of all orders of this incarnation.
+	settings    Settings
+	log         *event.Log
+	incarnation wire.Incarnation
+	// fence is the fencing number of all orders that this incarnation sends.
 	fence uint64
 	store *config.Store
-	// ask chooses the entry that is asked for a newer document.
-	ask   config.Ask
-	dial  ebonypulley.Dialer
-	group *ebonypulley.Group
+	// configFetch chooses the entry to request a newer configuration document
+	// from.
+	configFetch config.Ask
+	dial        ebonypulley.Dialer
+	group       *ebonypulley.Group
 
 	mu       sync.Mutex
-	gate     *lease.Table
+	leases   *lease.Table
 	worker   worker
 	endpoint config.Endpoint
 	pool     config.Pool
 	model    string
 	sessions map[*session]struct{}
-	// holders has the latest session of each entry's incarnation.
+	// holders maps the incarnation of each entry to its latest session.
 	holders  map[wire.Incarnation]*session
 	health   health
 	removed  bool
 	draining bool
-	// drainSaid is when DrainWaits was last logged.
-	drainSaid time.Time
-	idle      chan struct{}
-	peerSeen  time.Time
+	// drainLogged is when DrainWaits was last logged.
+	drainLogged   time.Time
+	drained       chan struct{}
+	lastHeartbeat time.Time
 }
 
 var agentErrors = errorx.NewNamespace("agent")
 
-// ErrListen is returned by Run when the address can't be had.
+// ErrListen is returned by Run when it can't listen on the address.
 var ErrListen = agentErrors.NewType("listen")
 
-// New returns an agent; it serves after Run. Dial reaches the endpoint and
-// the platform; nil means TCP.
-func New(set Settings, log *event.Log, dial ebonypulley.Dialer) *Agent {
+// New returns an agent that serves once Run or Serve is called. It uses dial to
+// reach the endpoint and the platform's services; nil uses TCP.
+func New(settings Settings, log *event.Log, dial ebonypulley.Dialer) *Agent {
 	return &Agent{
-		set:      set,
-		log:      log.With(zap.String("agent", set.Name)),
-		inc:      wire.NewID(),
-		fence:    uint64(time.Now().UnixNano()),
-		store:    new(config.Store),
-		sessions: make(map[*session]struct{}),
-		holders:  make(map[wire.Incarnation]*session),
-		dial:     dial,
-		health:   newHealth(dial.HTTPClient(false)),
-		idle:     make(chan struct{}),
+		settings:    settings,
+		log:         log.With(zap.String("agent", settings.Name)),
+		incarnation: wire.NewID(),
+		fence:       uint64(time.Now().UnixNano()),
+		store:       new(config.Store),
+		sessions:    make(map[*session]struct{}),
+		holders:     make(map[wire.Incarnation]*session),
+		dial:        dial,
+		health:      newHealth(dial.HTTPClient(false)),
+		drained:     make(chan struct{}),
 	}
 }
 
-// Store returns the agent's configuration.
+// Store returns the store of the agent's configuration document.
 func (a *Agent) Store() *config.Store { return a.store }
 
-// Run listens and serves until ctx ends or Drain completes.
+// Run listens on Settings.Listen and serves until ctx ends or Drain completes.
 //
-// The listening port is held for the whole life of the process. A paused
-// predecessor on the same VM therefore keeps its successor out, and two
-// agents never give orders to one endpoint.
+// The process holds the listening port for its whole life. A paused predecessor
+// on the same VM therefore keeps its successor from starting, so that two
+// agents never send orders to one endpoint.
 func (a *Agent) Run(ctx context.Context) error {
-	ln, err := net.Listen("tcp", a.set.Listen)
+	ln, err := net.Listen("tcp", a.settings.Listen)
 	if err != nil {
-		return ErrListen.Wrap(err, "agent %s", a.set.Name)
+		return ErrListen.Wrap(err, "agent %s", a.settings.Name)
 	}
 	return a.Serve(ctx, ln)
 }
 
-// Serve is Run on a listener, which it closes.
+// Serve is Run on an existing listener, which it closes.
 func (a *Agent) Serve(ctx context.Context, ln net.Listener) error {
 	a.group = ebonypulley.NewGroup(ctx)
-	a.log.Emit(event.Started, zap.String("listen", ln.Addr().String()), zap.Stringer("incarnation", a.inc))
+	a.log.Emit(event.Started, zap.String("listen", ln.Addr().String()), zap.Stringer("incarnation", a.incarnation))
 	a.group.Go(func(ctx context.Context) error { return a.accept(ctx, ln) })
 	a.group.Go(a.tickLoop)
 	a.group.Go(a.configLoop)
 	a.group.Go(a.healthLoop)
-	if a.set.ConfigService != "" {
-		a.group.Go(a.watchService)
+	if a.settings.ConfigService != "" {
+		a.group.Go(a.watchConfigService)
 	}
 	err := a.group.Wait()
 	a.log.Emit(event.Stopped)
@@ -166,36 +173,37 @@
 	return nil
 }
 
-// Drain refuses new work at once, lets work in progress end whole and be
+// Drain refuses new work, waits until work in progress has completed and was
 // delivered, and then ends Run.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.mu.Lock()
 	if !a.draining {
 		a.draining = true
-		a.drainSaid = time.Now()
+		a.drainLogged = time.Now()
 		a.log.Emit(event.DrainBegan)
-		a.closeGate()
-		a.tellAll()
+		a.drainLeases()
+		a.broadcastLoad()
 	}
 	a.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-a.idle:
+	case <-a.drained:
 		a.log.Emit(event.DrainEnded)
 		a.group.Stop()
 		return nil
 	}
 }
 
-func (a *Agent) closeGate() {
-	if a.gate != nil {
-		a.apply(a.gate.Drain())
+func (a *Agent) drainLeases() {
+	if a.leases != nil {
+		a.applyChanges(a.leases.Drain())
 	}
 }
 
-// tellAll sends the current load, unasked, so that entries learn at once.
-func (a *Agent) tellAll() {
+// broadcastLoad sends the current load to all entries without waiting for their
+// next ping.
+func (a *Agent) broadcastLoad() {
 	for s := range a.sessions {
 		s.send(a.pong(0))
 	}
@@ -204,7 +212,7 @@
 func (a *Agent) tickLoop(ctx context.Context) error {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	detector := ebonypulley.NewPauseDetector(pauseAllowed)
+	detector := ebonypulley.NewPauseDetector(pauseThreshold)
 	for {
 		select {
 		case <-ctx.Done():
@@ -214,19 +222,20 @@
 		now := time.Now()
 		if pause := detector.Tick(now); pause > 0 {
 			a.log.Emit(event.Paused, zap.Duration("pause", pause))
-			a.afterPause(now)
+			a.graceAfterPause(now)
 		}
 		a.tick(now)
 	}
 }
 
-// afterPause keeps a wake-up from ending leases whose heartbeats are still in
-// the socket buffers. Holders that are really gone lose theirs a second later.
-func (a *Agent) afterPause(now time.Time) {
+// graceAfterPause extends the leases after a pause of this process, whose
+// holders' heartbeats may still be in the socket buffers. Leases of holders
+// that did fail expire a second later.
+func (a *Agent) graceAfterPause(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.gate != nil {
-		a.gate.Grace(now, pauseGrace)
+	if a.leases != nil {
+		a.leases.Grace(now, pauseGrace)
 	}
 }
 
@@ -234,51 +243,52 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for s := range a.sessions {
-		if s.conn.Silence(now) > sessionSilence {
+		if s.conn.Silence(now) > sessionIdleTimeout {
 			s.conn.Close()
 		}
 	}
 	if a.worker != nil {
-		a.apply(a.gate.Tick(now))
+		a.applyChanges(a.leases.Tick(now))
 		a.worker.tick(now)
 	}
 	a.switchRole()
 	if a.draining {
-		a.drained(now)
+		a.checkDrained(now)
 	}
 }
 
-// drainReport is the pause between two events about a drain that waits.
-const drainReport = 5 * time.Second
+// drainLogInterval is the interval at which a drain that still waits is logged.
+const drainLogInterval = 5 * time.Second
 
-// drained ends the drain when nothing is left, and says what is left if not.
-func (a *Agent) drained(now time.Time) {
-	if !a.quiet() {
-		if now.Sub(a.drainSaid) >= drainReport {
-			a.drainSaid = now
-			a.log.Emit(event.DrainWaits, zap.Int("active", a.gate.Active()), zap.Int("waiting", a.gate.Waiting()), zap.String("work", a.worker.pending()))
+// checkDrained completes the drain if no work is left; otherwise it logs, every
+// drainLogInterval, what is left.
+func (a *Agent) checkDrained(now time.Time) {
+	if !a.idle() {
+		if now.Sub(a.drainLogged) >= drainLogInterval {
+			a.drainLogged = now
+			a.log.Emit(event.DrainWaits, zap.Int("active", a.leases.Active()), zap.Int("waiting", a.leases.Waiting()), zap.String("work", a.worker.pending()))
 		}
 		return
 	}
 	select {
-	case <-a.idle:
+	case <-a.drained:
 	default:
-		close(a.idle)
+		close(a.drained)
 	}
 }
 
-func (a *Agent) quiet() bool {
-	return a.worker == nil || a.gate.Idle() && a.worker.idle()
+func (a *Agent) idle() bool {
+	return a.worker == nil || a.leases.Idle() && a.worker.idle()
 }
 
-// apply hands the gate's changes to the worker.
-func (a *Agent) apply(changes []lease.Change) {
+// applyChanges passes lease changes to the worker.
+func (a *Agent) applyChanges(changes []lease.Change) {
 	for _, c := range changes {
 		switch c.Kind {
 		case lease.WasGranted:
 			a.worker.granted(c.ID)
 		case lease.WaitEnded:
-			a.worker.dropped(c.ID, c.Reason)
+			a.worker.waitEnded(c.ID, c.Reason)
 		case lease.Expired:
 			a.log.Emit(event.LeaseExpired, zap.Stringer("attempt", c.ID))
 			a.worker.expired(c.ID)
@@ -286,38 +296,39 @@
 	}
 }
 
-// release ends a lease and hands on what became free.
+// release ends a lease and grants the freed capacity to waiting attempts.
 func (a *Agent) release(id wire.ID) {
 	now := time.Now()
-	a.gate.Release(now, id)
-	a.apply(a.gate.Tick(now))
+	a.leases.Release(now, id)
+	a.applyChanges(a.leases.Tick(now))
 }
 
-// load is the word about the endpoint that rides on every reply.
+// load returns the load report that is part of every reply.
 func (a *Agent) load() wire.Load {
 	l := wire.Load{
 		CacheEpoch: a.health.epoch,
 		Draining:   a.draining,
-		Down:       a.health.down || a.removed || a.worker == nil || a.switching(),
+		Down:       a.health.down || a.removed || a.worker == nil || a.roleChangePending(),
 	}
 	if a.worker == nil {
 		return l
 	}
-	l.Active = a.gate.Active()
-	l.Waiting = a.gate.Waiting()
-	l.Capacity = a.gate.Requests()
+	l.Active = a.leases.Active()
+	l.Waiting = a.leases.Waiting()
+	l.Capacity = a.leases.Requests()
 	l.Backlog = a.worker.backlog()
 	return l
 }
 
-// refusal tells why no new attempt can be taken at all, or "".
-func (a *Agent) refusal() wire.Reason {
+// refusalReason returns why the agent accepts no new attempts, or "" if it
+// does.
+func (a *Agent) refusalReason() wire.Reason {
 	switch {
 	case a.draining || a.removed:
 		return wire.Draining
 	case a.worker == nil:
 		return wire.NoConfig
-	case a.switching():
+	case a.roleChangePending():
 		return wire.WrongRole
 	case a.health.down:
 		return wire.EndpointDown
@@ -326,9 +337,9 @@
 	}
 }
 
-// engineRefusal is refusal for work of a model.
-func (a *Agent) engineRefusal(model string) wire.Reason {
-	if reason := a.refusal(); reason != "" {
+// engineRefusalReason is refusalReason for work that needs the given model.
+func (a *Agent) engineRefusalReason(model string) wire.Reason {
+	if reason := a.refusalReason(); reason != "" {
 		return reason
 	}
 	if model != a.model {
@@ -337,7 +348,7 @@
 	return ""
 }
 
-// Stats is a snapshot for expvar and tests.
+// Stats is the state of an agent that expvar publishes.
 type Stats struct {
 	Active     int    `json:"active"`
 	Waiting    int    `json:"waiting"`
@@ -348,18 +359,18 @@
 	Down       bool   `json:"down"`
 }
 
-// Stats returns the current figures.
+// Stats returns the agent's current statistics.
 func (a *Agent) Stats() Stats {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := Stats{Sessions: len(a.sessions), Generation: a.store.Generation(), Draining: a.draining, Down: a.health.down}
-	if a.gate != nil {
-		s.Active = a.gate.Active()
-		s.Waiting = a.gate.Waiting()
-		s.Tokens = a.gate.Tokens()
+	if a.leases != nil {
+		s.Active = a.leases.Active()
+		s.Waiting = a.leases.Waiting()
+		s.Tokens = a.leases.Tokens()
 	}
 	return s
 }
 
-// Incarnation identifies this run of the agent.
-func (a *Agent) Incarnation() wire.Incarnation { return a.inc }
+// Incarnation returns the ID of this run of the agent.
+func (a *Agent) Incarnation() wire.Incarnation { return a.incarnation }
--- a/agent/answer.go
+++ b/agent/answer.go
@@ -16,41 +16,42 @@
 	"ebonypulley/wire"
 )
 
-// answer is the part of a decode attempt that is delivered: all tokens so
-// far, how many were sent and how many the entry confirmed. The engine runs
-// ahead of a slow reader, so a slow reader never holds engine memory; the
-// tokens wait here, at most the longest answer allowed.
-type answer struct {
-	tokens   []string
-	why      string // set when the answer is whole
-	sent     int
-	acked    int
-	finished bool // Finish was sent on the current connection
+// answerBuffer holds all tokens of a decode attempt so far and tracks how many
+// were sent and acknowledged. The engine generates independently of how fast
+// the entry reads, so that a slow reader does not hold engine memory. The
+// buffer is bounded by the longest answer allowed.
+type answerBuffer struct {
+	tokens       []string
+	finishReason string // set when the answer is complete
+	sent         int
+	acked        int
+	finishSent   bool // wire.Finish was sent on the current connection
 }
 
-func (x *answer) whole() bool { return x.why != "" }
+func (x *answerBuffer) complete() bool { return x.finishReason != "" }
 
-// resume goes back to what the entry has; it asked for token next.
-func (x *answer) resume(next int) {
+// resume moves back to the token that the entry asked for after a reconnect.
+func (x *answerBuffer) resume(next int) {
 	next = min(max(next, x.acked), len(x.tokens))
 	x.acked = next
 	x.sent = next
-	x.finished = false
+	x.finishSent = false
 }
 
-// ack opens the window.
-func (x *answer) ack(next int) {
+// ack advances the send window.
+func (x *answerBuffer) ack(next int) {
 	if next > x.acked && next <= x.sent {
 		x.acked = next
 	}
 }
 
-// maxChunk is the number of tokens in one chunk.
+// maxChunk is the maximum number of tokens in one chunk.
 const maxChunk = 64
 
-// pump sends what the window allows. After a change of the connection it waits
-// for the entry to say where it stands, or tokens would be skipped.
-func (w *decodeWorker) pump(job *decodeJob) {
+// sendChunks sends the tokens that the window allows. After a reconnect it
+// sends nothing until the entry has sent its position on the new connection;
+// otherwise tokens would be skipped.
+func (w *decodeWorker) sendChunks(job *decodeJob) {
 	if job.stream == nil || w.a.holders[job.holder] != job.stream {
 		return
 	}
@@ -61,41 +62,41 @@
 		w.a.reply(job.holder, &wire.Chunk{ID: job.id, From: x.sent, Tokens: x.tokens[x.sent:to]})
 		x.sent = to
 	}
-	if x.whole() && x.sent == len(x.tokens) && !x.finished {
-		x.finished = true
-		w.a.reply(job.holder, &wire.Finish{ID: job.id, Tokens: len(x.tokens), Why: x.why, Load: w.a.load()})
+	if x.complete() && x.sent == len(x.tokens) && !x.finishSent {
+		x.finishSent = true
+		w.a.reply(job.holder, &wire.Finish{ID: job.id, Tokens: len(x.tokens), Why: x.finishReason, Load: w.a.load()})
 	}
 }
 
 func (w *decodeWorker) ack(m *wire.Ack) {
 	if job, ok := w.jobs[m.ID]; ok {
 		job.answer.ack(m.Next)
-		w.pump(job)
+		w.sendChunks(job)
 	}
 }
 
 const (
-	// streamSilence is after how long without a token the engine's stream
-	// is replaced; a step takes some tens of milliseconds.
-	streamSilence = 750 * time.Millisecond
-	// streamTries is how many streams in a row may bring nothing before the
-	// engine counts as lost to this request.
-	streamTries = 3
-	streamPause = 50 * time.Millisecond
+	// streamIdleTimeout is after how long without a token the stream from the
+	// engine is replaced. A decode step takes some tens of milliseconds.
+	streamIdleTimeout = 750 * time.Millisecond
+	// maxIdleStreams is how many consecutive streams may deliver no token
+	// before the request counts as lost at the engine.
+	maxIdleStreams   = 3
+	streamRetryDelay = 50 * time.Millisecond
 )
 
-// generate reads the answer from the engine to its end.
+// generate reads the answer from the engine until it is complete.
 //
-// The engine's stream stays open but goes silent,
-// while the engine works on. It shows as an answer that stops. The guard
-// holds because a silent stream is replaced by a fresh one from the next
-// token; only an engine that is silent on fresh ones as well is given up.
+// The connection to the engine can go silent while the engine keeps generating,
+// which would stall the answer. A silent stream is therefore replaced by a new
+// one that starts at the next token; the request fails only if the new streams
+// deliver nothing either.
 func (w *decodeWorker) generate(job *decodeJob, m *wire.Decode) error {
 	failures := 0
 	opened := false
 	for {
-		before := w.length(job)
-		err := w.follow(job, m, &opened, before)
+		before := w.tokenCount(job)
+		err := w.readStream(job, m, &opened, before)
 		if err == nil {
 			return nil
 		}
@@ -106,32 +107,32 @@
 			return err
 		}
 		failures++
-		if w.length(job) > before {
+		if w.tokenCount(job) > before {
 			failures = 1
 		}
-		if failures > streamTries {
+		if failures > maxIdleStreams {
 			return err
 		}
 		w.a.log.Emit(event.StreamReplaced, zap.Stringer("attempt", job.id), event.Err(err))
 		w.engine.Close()
-		ebonypulley.Sleep(job.ctx, streamPause)
+		ebonypulley.Sleep(job.ctx, streamRetryDelay)
 	}
 }
 
-func (w *decodeWorker) length(job *decodeJob) int {
+func (w *decodeWorker) tokenCount(job *decodeJob) int {
 	w.a.mu.Lock()
 	defer w.a.mu.Unlock()
 	return len(job.answer.tokens)
 }
 
-// follow reads one stream until the answer is whole (nil) or the stream ends
-// or falls silent.
-func (w *decodeWorker) follow(job *decodeJob, m *wire.Decode, opened *bool, from int) error {
+// readStream reads one stream until the answer is complete, in which case it
+// returns nil, or until the stream ends or goes silent.
+func (w *decodeWorker) readStream(job *decodeJob, m *wire.Decode, opened *bool, from int) error {
 	ctx, cancel := context.WithCancel(job.ctx)
 	defer cancel()
-	watchdog := time.AfterFunc(streamSilence, cancel)
+	watchdog := time.AfterFunc(streamIdleTimeout, cancel)
 	defer watchdog.Stop()
-	stream, err := w.open(ctx, job, m, *opened, from)
+	stream, err := w.openStream(ctx, job, m, *opened, from)
 	if err != nil {
 		return err
 	}
@@ -145,16 +146,17 @@
 		if err != nil {
 			return err
 		}
-		watchdog.Reset(streamSilence)
-		if w.take(job, e) {
+		watchdog.Reset(streamIdleTimeout)
+		if w.appendEvent(job, e) {
 			return nil
 		}
 	}
 }
 
-// open asks for the answer until a stream was opened once, and resumes it from
-// then on. Asking again is harmless: the engine knows the request by its ID.
-func (w *decodeWorker) open(ctx context.Context, job *decodeJob, m *wire.Decode, opened bool, from int) (*engine.Stream, error) {
+// openStream sends the completion request until a stream has been opened once,
+// and resumes the stream from then on. Repeating the request is safe, because
+// the engine identifies it by its ID.
+func (w *decodeWorker) openStream(ctx context.Context, job *decodeJob, m *wire.Decode, opened bool, from int) (*engine.Stream, error) {
 	if opened {
 		return w.engine.Resume(ctx, job.id.String(), from)
 	}
@@ -166,23 +168,24 @@
 	})
 }
 
-// take adds an event to the answer and reports whether the answer is whole.
-// Tokens that came before are dropped by their number.
-func (w *decodeWorker) take(job *decodeJob, e engine.Completion) bool {
+// appendEvent adds an event to the answer and reports whether reading ends: the
+// answer is complete, or the attempt is being freed. Tokens that were received
+// before are dropped by their index.
+func (w *decodeWorker) appendEvent(job *decodeJob, e engine.Completion) bool {
 	w.a.mu.Lock()
 	defer w.a.mu.Unlock()
-	if job.leaving {
+	if job.freeing {
 		return true
 	}
 	choice := e.Choices[0]
 	x := &job.answer
 	if choice.FinishReason != "" && e.TokenIndex == len(x.tokens) {
-		x.why = choice.FinishReason
+		x.finishReason = choice.FinishReason
 		return true
 	}
 	if e.TokenIndex == len(x.tokens) {
 		x.tokens = append(x.tokens, choice.Text)
-		w.pump(job)
+		w.sendChunks(job)
 	}
 	return false
 }
--- a/agent/config.go
+++ b/agent/config.go
@@ -13,23 +13,23 @@
 	"ebonypulley/source"
 )
 
-// peerSilence is after how long without any entry the agent reads the
-// configuration service itself.
-const peerSilence = 5 * time.Second
-
-// watchService follows the configuration service while no entry is
-// connected. Normally entries bring the document, so that the service does
-// not see thousands of agents.
-func (a *Agent) watchService(ctx context.Context) error {
+// peerSilenceLimit is after how long without a heartbeat from any entry the
+// agent reads the configuration service itself.
+const peerSilenceLimit = 5 * time.Second
+
+// watchConfigService reads the configuration service while no entry is
+// connected. Normally entries send the document, so that thousands of agents do
+// not poll the service.
+func (a *Agent) watchConfigService(ctx context.Context) error {
 	w := source.Watcher{
-		URL:   a.set.ConfigService,
+		URL:   a.settings.ConfigService,
 		Store: a.store,
 		Log:   a.log,
 		HTTP:  a.health.client,
 		Needed: func() bool {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			return time.Since(a.peerSeen) > peerSilence
+			return time.Since(a.lastHeartbeat) > peerSilenceLimit
 		},
 	}
 	return w.Run(ctx)
@@ -47,11 +47,11 @@
 	}
 }
 
-// configure puts a document in force here.
+// configure applies a configuration document.
 func (a *Agent) configure(doc *config.Document) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	e := doc.Endpoint(a.set.Name)
+	e := doc.Endpoint(a.settings.Name)
 	if e == nil {
 		a.remove()
 		return
@@ -61,19 +61,19 @@
 	a.endpoint = *e
 	a.pool = *pool
 	a.setModel(doc.Service(pool.Service).Model)
-	if a.gate == nil {
-		a.gate = lease.NewTable(capacityOf(pool), doc.Limits.LeaseTTL.D())
+	if a.leases == nil {
+		a.leases = lease.NewTable(capacityOf(pool), doc.Limits.LeaseTTL.D())
 		a.startWorker()
 	}
-	a.gate.Configure(capacityOf(pool), doc.Limits.LeaseTTL.D())
+	a.leases.Configure(capacityOf(pool), doc.Limits.LeaseTTL.D())
 	if w, ok := a.worker.(*plainWorker); ok {
 		w.configure(doc)
 	}
-	a.health.wake()
+	a.health.checkNow()
 }
 
-// setModel changes the declared model. Until the engine serves it, nothing new
-// is taken; answers of the old model end whole first.
+// setModel changes the declared model. The agent takes no new work until the
+// engine serves it; answers of the old model complete first.
 func (a *Agent) setModel(model string) {
 	if a.model == model {
 		return
@@ -81,7 +81,7 @@
 	a.model = model
 	if a.worker != nil {
 		a.health.down = true
-		a.tellAll()
+		a.broadcastLoad()
 	}
 }
 
@@ -89,16 +89,16 @@
 	return lease.Capacity{Requests: p.Requests, Tokens: p.Tokens, Headroom: p.Headroom, Queue: p.Queue}
 }
 
-// remove stops new work when the document no longer declares this endpoint;
-// work in progress ends whole.
+// remove refuses new work when the configuration document no longer declares
+// this endpoint. Work in progress completes.
 func (a *Agent) remove() {
 	if a.removed {
 		return
 	}
 	a.removed = true
 	a.log.Emit(event.EndpointRemoved, zap.Uint64("generation", a.store.Generation()))
-	a.closeGate()
-	a.tellAll()
+	a.drainLeases()
+	a.broadcastLoad()
 }
 
 func (a *Agent) readmit() {
@@ -106,13 +106,13 @@
 		return
 	}
 	a.removed = false
-	if a.gate != nil && !a.draining {
-		a.gate.Open()
+	if a.leases != nil && !a.draining {
+		a.leases.Open()
 	}
-	a.tellAll()
+	a.broadcastLoad()
 }
 
-// startWorker begins the work of the declared role.
+// startWorker creates the worker of the declared role.
 func (a *Agent) startWorker() {
 	switch a.pool.Role {
 	case config.Prefill:
@@ -124,7 +124,7 @@
 	}
 }
 
-// role returns the role that the worker does now.
+// role returns the role of the current worker.
 func (a *Agent) role() config.Role {
 	switch a.worker.(type) {
 	case *prefillWorker:
@@ -136,22 +136,24 @@
 	}
 }
 
-// switching reports whether another role is declared than the one done now.
-func (a *Agent) switching() bool { return a.worker != nil && a.role() != a.pool.Role }
+// roleChangePending reports whether the declared role differs from that of the
+// current worker.
+func (a *Agent) roleChangePending() bool { return a.worker != nil && a.role() != a.pool.Role }
 
-// switchRole changes the role once the work of the old one has ended whole.
+// switchRole switches to the declared role once all work of the old role has
+// completed.
 func (a *Agent) switchRole() {
-	if a.switching() && a.quiet() {
+	if a.roleChangePending() && a.idle() {
 		a.startWorker()
-		a.health.wake()
-		a.tellAll()
+		a.health.checkNow()
+		a.broadcastLoad()
 	}
 }
 
-// linkRate returns the rate in bytes a second that the link from an
-// endpoint's data centre allows this one.
+// linkRate returns the rate, in bytes per second, of the link from an
+// endpoint's data centre to this one.
 func (a *Agent) linkRate(endpoint string) float64 {
-	link := a.store.Current().Document.Link(a.dataCentreOf(endpoint), a.set.DataCentre)
+	link := a.store.Current().Document.Link(a.dataCentreOf(endpoint), a.settings.DataCentre)
 	if link == nil {
 		return undeclaredLinkRate
 	}
@@ -160,7 +162,7 @@
 
 const (
 	bytesPerMB = 1e6
-	// undeclaredLinkRate is used between data centres without a declared
+	// undeclaredLinkRate is assumed between data centres that have no declared
 	// link: 1 GB/s.
 	undeclaredLinkRate = 1e9
 )
--- a/agent/decode.go
+++ b/agent/decode.go
@@ -15,8 +15,8 @@
 	"ebonypulley/wire"
 )
 
-// decodeWorker gates a decode engine: memory is leased first, then the
-// prefill result is imported and the answer streamed.
+// decodeWorker serves a decode engine: it leases memory first, then imports the
+// prefill result and streams the answer.
 type decodeWorker struct {
 	a      *Agent
 	engine *engine.Client
@@ -24,7 +24,7 @@
 	links  map[string]*limit.Link
 }
 
-// decodeJob is one attempt on the engine's memory.
+// decodeJob is the state of one decode attempt.
 type decodeJob struct {
 	id       wire.ID
 	holder   wire.Incarnation
@@ -32,14 +32,14 @@
 	deadline time.Time
 	ctx      context.Context
 	cancel   context.CancelFunc
-	// ran is closed when the goroutine that speaks to the engine has ended;
-	// nil before Decode.
-	ran chan struct{}
-	// stream is the connection that the entry asked for the answer on.
+	// done is closed when the goroutine that uses the engine for this job has
+	// ended; nil before Decode.
+	done chan struct{}
+	// stream is the session on which the entry last requested the answer.
 	stream *session
-	// leaving: its memory is being freed.
-	leaving bool
-	answer  answer
+	// freeing is set while the engine's memory for this job is being freed.
+	freeing bool
+	answer  answerBuffer
 	failed  *wire.Failed
 }
 
@@ -69,18 +69,18 @@
 
 func (w *decodeWorker) reserve(s *session, m *wire.Reserve) {
 	if _, ok := w.jobs[m.ID]; ok {
-		if w.a.gate.Holds(m.ID) {
+		if w.a.leases.Holds(m.ID) {
 			w.granted(m.ID)
 		}
 		return
 	}
-	if reason := w.a.engineRefusal(m.Model); reason != "" {
+	if reason := w.a.engineRefusalReason(m.Model); reason != "" {
 		w.a.refuse(s, m.ID, reason, 0)
 		return
 	}
 	now := time.Now()
 	deadline := now.Add(m.Deadline)
-	d := w.a.gate.Reserve(now, lease.Request{
+	d := w.a.leases.Reserve(now, lease.Request{
 		ID:        m.ID,
 		Holder:    s.holder,
 		Tokens:    m.Tokens,
@@ -107,7 +107,7 @@
 	}
 }
 
-func (w *decodeWorker) dropped(id wire.ID, reason wire.Reason) {
+func (w *decodeWorker) waitEnded(id wire.ID, reason wire.Reason) {
 	job, ok := w.jobs[id]
 	if !ok {
 		return
@@ -121,10 +121,10 @@
 	delete(w.jobs, job.id)
 }
 
-// decode starts the answer, or goes on with it on a new connection.
+// decode starts the answer, or resumes it on a new connection.
 func (w *decodeWorker) decode(s *session, m *wire.Decode) {
 	job, ok := w.jobs[m.ID]
-	if !ok || job.leaving || job.failed == nil && job.ran == nil && !w.a.gate.Holds(m.ID) {
+	if !ok || job.freeing || job.failed == nil && job.done == nil && !w.a.leases.Holds(m.ID) {
 		s.send(&wire.Failed{ID: m.ID, Reason: wire.LeaseLost, KVAlive: m.KV.Lives > 0, Load: w.a.load()})
 		return
 	}
@@ -133,23 +133,24 @@
 		return
 	}
 	job.stream = s
-	if job.ran != nil {
+	if job.done != nil {
 		job.answer.resume(m.Next)
-		w.pump(job)
+		w.sendChunks(job)
 		return
 	}
-	job.ran = make(chan struct{})
-	plan, ok := w.plan(m.KV)
+	job.done = make(chan struct{})
+	plan, ok := w.planTransfer(m.KV)
 	if !ok {
-		close(job.ran)
+		close(job.done)
 		w.fail(job, wire.TransferStalled, true)
 		return
 	}
 	w.a.spawn(func() { w.run(job, m, plan) })
 }
 
-// plan takes the receiver's budget of the link that the result comes over.
-func (w *decodeWorker) plan(kv wire.KVRef) (transfer, bool) {
+// planTransfer reserves a part of this receiver's bandwidth budget for the link
+// that the result comes over.
+func (w *decodeWorker) planTransfer(kv wire.KVRef) (transfer, bool) {
 	now := time.Now()
 	expiry := now.Add(kv.Lives)
 	rate := w.a.linkRate(kv.Endpoint)
@@ -163,7 +164,7 @@
 	return transfer{Plan: p, expiry: expiry, rate: rate}, ok
 }
 
-// transfer is a planned import.
+// transfer is the planned import of a prefill result.
 type transfer struct {
 	limit.Plan
 	expiry time.Time
@@ -171,24 +172,25 @@
 }
 
 const (
-	// transferSlack is what a transfer may take beyond three times its plan.
+	// transferSlack is what a transfer may take beyond three times its planned
+	// time.
 	transferSlack = 100 * time.Millisecond
-	// reuseTime is what another endpoint needs to use a result whose
+	// reuseTime is the time that another endpoint needs to use a result whose
 	// transfer was cut here.
 	reuseTime = 250 * time.Millisecond
 )
 
-// cutAfter is when a transfer counts as stalled. A planned one always gets
-// its planned time; beyond that it is cut while the result is still alive,
-// so that another endpoint can use it.
-func (t transfer) cutAfter(now time.Time) time.Duration {
-	patient := 3*t.Take + transferSlack
-	useful := t.expiry.Sub(now) - reuseTime
-	return max(min(patient, useful), t.Take+t.Take/2)
+// timeout returns after how long a transfer counts as stalled. A transfer
+// always gets its planned time and half of it more; beyond that it is cut while
+// the result is still alive, so that another endpoint can use it.
+func (t transfer) timeout(now time.Time) time.Duration {
+	stalled := 3*t.Take + transferSlack
+	reusable := t.expiry.Sub(now) - reuseTime
+	return max(min(stalled, reusable), t.Take+t.Take/2)
 }
 
 func (w *decodeWorker) run(job *decodeJob, m *wire.Decode, plan transfer) {
-	defer close(job.ran)
+	defer close(job.done)
 	if reason, alive := w.importKV(job, m, plan); reason != "" {
 		w.a.mu.Lock()
 		defer w.a.mu.Unlock()
@@ -198,7 +200,7 @@
 	err := w.generate(job, m)
 	w.a.mu.Lock()
 	defer w.a.mu.Unlock()
-	if job.leaving {
+	if job.freeing {
 		return
 	}
 	if err != nil {
@@ -206,18 +208,18 @@
 		w.fail(job, wire.EngineLost, false)
 		return
 	}
-	// The engine frees the memory of a finished answer itself.
+	// The engine frees the memory of a completed answer itself.
 	w.a.release(job.id)
-	w.pump(job)
+	w.sendChunks(job)
 }
 
-// importKV brings the result into the engine. On failure it says why and
-// whether the result can still be used elsewhere.
+// importKV imports the prefill result into the engine. If that fails, it
+// returns the reason and whether another endpoint can still use the result.
 func (w *decodeWorker) importKV(job *decodeJob, m *wire.Decode, plan transfer) (wire.Reason, bool) {
 	if !ebonypulley.Sleep(job.ctx, plan.Wait) {
 		return wire.LeaseLost, true
 	}
-	ctx, cancel := context.WithTimeout(job.ctx, plan.cutAfter(time.Now()))
+	ctx, cancel := context.WithTimeout(job.ctx, plan.timeout(time.Now()))
 	defer cancel()
 	err := w.engine.Import(ctx, engine.ImportRequest{
 		RequestID:      job.id.String(),
@@ -226,7 +228,8 @@
 		BytesPerSecond: plan.rate,
 	})
 	if err == nil {
-		// Beside the answer: its first token must not wait for this.
+		// Asynchronous, because the first token of the answer must not wait for
+		// it.
 		w.a.spawn(func() { w.dropSource(m.KV) })
 		return "", false
 	}
@@ -240,17 +243,18 @@
 	return wire.TransferStalled, alive
 }
 
-// dropSource frees the result at its engine; it would expire by itself.
+// dropSource frees the result at the prefill engine. Errors are ignored,
+// because the result also expires.
 func (w *decodeWorker) dropSource(kv wire.KVRef) {
 	ctx, cancel := context.WithTimeout(w.a.group.Context(), freeTimeout)
 	defer cancel()
 	_ = engine.NewClient(kv.URL, w.a.health.client).DropKV(ctx, kv.Handle)
 }
 
-// fail ends an attempt that holds memory: the memory is freed first, the
-// lease released afterwards, and the entry is told at once.
+// fail ends an attempt that holds a lease. It notifies the entry at once, frees
+// the engine's memory and then releases the lease.
 func (w *decodeWorker) fail(job *decodeJob, reason wire.Reason, kvAlive bool) {
-	if job.leaving {
+	if job.freeing {
 		return
 	}
 	job.failed = &wire.Failed{ID: job.id, Reason: reason, KVAlive: kvAlive, Load: w.a.load()}
@@ -270,17 +274,17 @@
 
 // cancel frees what the attempt holds and acknowledges when that is done.
 //
-// A caller goes away and the engine keeps working
-// for it. The guard holds because the lease ends only after the engine
-// confirmed, and the entry repeats Cancel until it hears so.
+// The lease ends only after the engine has confirmed, and the entry repeats
+// Cancel until it is acknowledged. Otherwise the engine could keep working for
+// a caller that has disconnected.
 func (w *decodeWorker) cancel(s *session, id wire.ID) {
-	w.a.gate.Withdraw(time.Now(), id)
+	w.a.leases.Withdraw(time.Now(), id)
 	job, ok := w.jobs[id]
 	if !ok {
 		s.send(&wire.Cancelled{ID: id})
 		return
 	}
-	if job.ran == nil || job.answer.whole() || job.failed != nil && !job.leaving {
+	if job.done == nil || job.answer.complete() || job.failed != nil && !job.freeing {
 		w.a.release(id)
 		w.forget(job)
 		s.send(&wire.Cancelled{ID: id})
@@ -289,23 +293,23 @@
 	w.free(job, s)
 }
 
-// free ends the engine's work on an attempt. The session, if any, gets a
-// Cancelled afterwards; a repeated Cancel finds the job gone by then.
+// free stops the engine's work on an attempt. The session, if any, then gets a
+// Cancelled message; a repeated Cancel finds that the job is gone.
 func (w *decodeWorker) free(job *decodeJob, ack *session) {
-	if job.leaving {
+	if job.freeing {
 		return
 	}
-	job.leaving = true
+	job.freeing = true
 	job.cancel()
 	w.a.spawn(func() {
-		if job.ran != nil {
-			<-job.ran
+		if job.done != nil {
+			<-job.done
 		}
-		w.a.abort(w.engine, job.id)
+		w.a.abortConfirmed(w.engine, job.id)
 		w.a.mu.Lock()
 		defer w.a.mu.Unlock()
 		w.a.release(job.id)
-		job.leaving = false
+		job.freeing = false
 		if job.failed == nil {
 			w.forget(job)
 		}
@@ -317,8 +321,8 @@
 
 func (w *decodeWorker) tick(now time.Time) {
 	for _, job := range w.jobs {
-		over := job.answer.whole() || job.failed != nil && !job.leaving
-		if over && (!w.a.gate.Heard(now, job.holder) || now.After(job.deadline)) {
+		ended := job.answer.complete() || job.failed != nil && !job.freeing
+		if ended && (!w.a.leases.Heard(now, job.holder) || now.After(job.deadline)) {
 			w.forget(job)
 		}
 	}
@@ -326,20 +330,20 @@
 
 func (w *decodeWorker) backlog() int { return 0 }
 
-// idle reports whether all answers have been delivered.
+// idle reports whether all answers were delivered.
 func (w *decodeWorker) idle() bool { return len(w.jobs) == 0 }
 
 func (w *decodeWorker) pending() string {
-	running, whole, failed := 0, 0, 0
+	running, complete, failed := 0, 0, 0
 	for _, job := range w.jobs {
 		switch {
 		case job.failed != nil:
 			failed++
-		case job.answer.whole():
-			whole++
+		case job.answer.complete():
+			complete++
 		default:
 			running++
 		}
 	}
-	return fmt.Sprintf("answers running %d, whole %d, failed %d", running, whole, failed)
+	return fmt.Sprintf("answers: %d running, %d complete, %d failed", running, complete, failed)
 }
--- a/agent/health.go
+++ b/agent/health.go
@@ -21,38 +21,40 @@
 const (
 	healthInterval = 250 * time.Millisecond
 	healthTimeout  = time.Second
-	// downAfter is how many checks in a row must fail.
-	downAfter = 2
-	// freeTimeout bounds one call that frees memory at an engine.
-	freeTimeout = time.Second
-	freePause   = 100 * time.Millisecond
+	// downThreshold is the number of consecutive failed checks after which the
+	// endpoint counts as down.
+	downThreshold = 2
+	// freeTimeout bounds one request that frees memory at an engine.
+	freeTimeout       = time.Second
+	freeRetryInterval = 100 * time.Millisecond
 )
 
-// health is what the agent knows of its endpoint.
+// health is the state of the endpoint as the agent last observed it.
 type health struct {
-	client *http.Client
-	poke   chan struct{}
-	down   bool
-	epoch  uint64
-	failed int
-	// suspects are requests of the engine that the last check did not know;
-	// used by the health loop only.
-	suspects map[string]bool
+	client   *http.Client
+	trigger  chan struct{}
+	down     bool
+	epoch    uint64
+	failures int
+	// orphanCandidates are the engine's requests that had no job here at the
+	// last check. Only the health loop uses it.
+	orphanCandidates map[string]bool
 }
 
 func newHealth(client *http.Client) health {
-	return health{client: client, poke: make(chan struct{}, 1), down: true}
+	return health{client: client, trigger: make(chan struct{}, 1), down: true}
 }
 
-// wake makes the next check come at once.
-func (h *health) wake() {
+// checkNow triggers a health check without waiting for the next tick.
+func (h *health) checkNow() {
 	select {
-	case h.poke <- struct{}{}:
+	case h.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// healthLoop checks the endpoint and keeps its model and role as declared.
+// healthLoop checks the endpoint periodically and keeps its model and role as
+// declared.
 func (a *Agent) healthLoop(ctx context.Context) error {
 	defer a.health.client.CloseIdleConnections()
 	tick := time.NewTicker(healthInterval)
@@ -62,7 +64,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-		case <-a.health.poke:
+		case <-a.health.trigger:
 		}
 		a.mu.Lock()
 		ready, role, endpoint := a.worker != nil, a.pool.Role, a.endpoint
@@ -74,7 +76,7 @@
 		epoch, err := a.check(checkCtx, role, endpoint)
 		cancel()
 		if ctx.Err() == nil {
-			a.checked(epoch, err)
+			a.recordCheck(epoch, err)
 		}
 	}
 }
@@ -84,7 +86,7 @@
 		return 0, a.checkPlain(ctx, e)
 	}
 	client := engine.NewClient(e.URL, a.health.client)
-	if err := a.orderIfNeeded(ctx, client); err != nil {
+	if err := a.reconcileEngine(ctx, client); err != nil {
 		return 0, err
 	}
 	if role == config.Decode {
@@ -113,58 +115,57 @@
 	return nil
 }
 
-func (a *Agent) checked(epoch uint64, err error) {
+func (a *Agent) recordCheck(epoch uint64, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	h := &a.health
 	if err != nil {
-		h.failed++
-		if h.failed >= downAfter && !h.down {
+		h.failures++
+		if h.failures >= downThreshold && !h.down {
 			h.down = true
 			a.log.Emit(event.EndpointDown, event.Err(err))
-			a.tellAll()
+			a.broadcastLoad()
 		}
 		return
 	}
-	h.failed = 0
+	h.failures = 0
 	h.epoch = epoch
 	if h.down {
 		h.down = false
 		a.log.Emit(event.EndpointUp)
-		a.tellAll()
+		a.broadcastLoad()
 	}
 }
 
-// errLoading says that the engine still carries out an order.
+// errLoading is returned while the engine is still carrying out an order.
 var errLoading = engine.ErrRefused.New("the engine is loading its model")
 
-// errBusy says that an order waits for work in progress.
+// errBusy is returned while an order waits for work in progress.
 var errBusy = engine.ErrRefused.New("answers of the old model are still in progress")
 
-// mayOrder reports whether an engine that serves may be given another model or
-// role: only when what it serves has ended whole.
+// readyForOrder marks the endpoint as down, so that it gets no new work, and
+// reports whether the work in progress has completed.
 //
-// An operator declares another model while drafts are
-// being written. It shows as drafts that break off everywhere at once. The
-// guard holds because the agent takes nothing new from the moment it knows,
-// and orders only when nothing is left.
-func (a *Agent) mayOrder() bool {
+// Without this, a new model that an operator declares while drafts are being
+// written would break off all of them at once.
+func (a *Agent) readyForOrder() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.health.down = true
-	return a.quiet()
+	return a.idle()
 }
 
-// orderIfNeeded gives the engine the declared model and role if it has
-// others. Only this agent orders its engine. The fencing number is the wall
-// time of the agent's start: it grows over restarts without a disk.
+// reconcileEngine orders the engine to switch to the declared model and role if
+// it has others. Only this agent sends orders to its engine. The fencing number
+// is the wall-clock time of the agent's start, which grows across restarts
+// without being stored.
 //
-// An agent sleeps, its endpoint is given to an agent
-// on another VM, and the first one wakes and orders the old model back. The
-// guard holds with engines that check the number, because the sleeper's stays
-// that of its start; with others the VM's port keeps out a second agent on
-// the same VM only.
-func (a *Agent) orderIfNeeded(ctx context.Context, client *engine.Client) error {
+// An agent may be paused while its endpoint is given to an agent on another VM,
+// and order the old model back when it resumes. Engines that check the fencing
+// number refuse that order, because the number of the paused agent is still
+// that of its start. With other engines, the agent's listening port only
+// prevents a second agent on the same VM.
+func (a *Agent) reconcileEngine(ctx context.Context, client *engine.Client) error {
 	state, err := client.State(ctx)
 	if err != nil {
 		return err
@@ -178,7 +179,7 @@
 		}
 		return nil
 	}
-	if state.Model != "" && !a.mayOrder() {
+	if state.Model != "" && !a.readyForOrder() {
 		return errBusy
 	}
 	order := engine.Order{Fence: a.fence, Model: want.Model, Role: want.Role}
@@ -190,10 +191,10 @@
 	return errLoading
 }
 
-// abort frees what the engine holds for an attempt. It returns when the
-// engine confirmed; an engine that does not answer is asked again, and the
-// lease stays taken meanwhile, because the memory may be.
-func (a *Agent) abort(client *engine.Client, id wire.ID) {
+// abortConfirmed frees what the engine holds for an attempt and returns when
+// the engine has confirmed it. An engine that does not answer is asked again.
+// The lease is kept meanwhile, because the memory may still be in use.
+func (a *Agent) abortConfirmed(client *engine.Client, id wire.ID) {
 	ctx := a.group.Context()
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, freeTimeout)
@@ -202,11 +203,11 @@
 		if err == nil {
 			return
 		}
-		ebonypulley.Sleep(ctx, freePause)
+		ebonypulley.Sleep(ctx, freeRetryInterval)
 	}
 }
 
-// spawn runs fn in the agent's group; it must end when the group does.
+// spawn runs fn in the agent's group; fn must return when the group is stopped.
 func (a *Agent) spawn(fn func()) {
 	a.group.Go(func(context.Context) error {
 		fn()
@@ -216,11 +217,11 @@
 
 func isGone(err error) bool { return errorx.IsOfType(err, engine.ErrGone) }
 
-// wireFault reports whether a connection ended by a breach of the protocol
-// and not by its end.
-func wireFault(err error) bool {
+// isProtocolError reports whether a connection ended because of a protocol
+// violation rather than by closing or a network error.
+func isProtocolError(err error) bool {
 	var netErr net.Error
-	ordinary := err == nil || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
+	closed := err == nil || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, net.ErrClosed) || errors.Is(err, io.ErrClosedPipe) || errors.As(err, &netErr)
-	return !ordinary
+	return !closed
 }
--- a/agent/orphan.go
+++ b/agent/orphan.go
@@ -9,22 +9,21 @@
 	"ebonypulley/event"
 )
 
-// freeOrphans aborts requests that the engine holds and this agent does not
-// know. One is only aborted when two checks in a row found it, because a
-// check may cross an import that just began.
+// freeOrphans aborts requests that the engine holds and this agent has no job
+// for. A request is aborted only if two consecutive checks found it, because a
+// check may overlap with an import that has just begun.
 //
-// An agent dies with requests in its engine. It shows
-// as engine memory that no lease accounts for and nobody frees. The guard
-// holds because the agent is the engine's only gate: what it does not know,
-// nobody waits for.
+// An agent that dies leaves its requests in the engine, whose memory then is
+// neither under a lease nor freed by anybody. All work for the engine passes
+// through this agent, so nobody waits for a request that it does not know.
 func (a *Agent) freeOrphans(ctx context.Context, client *engine.Client) error {
 	list, err := client.Requests(ctx)
 	if err != nil {
 		return err
 	}
-	suspects := a.unknown(list.IDs)
-	for id := range suspects {
-		if !a.health.suspects[id] {
+	unknown := a.unknownRequests(list.IDs)
+	for id := range unknown {
+		if !a.health.orphanCandidates[id] {
 			continue
 		}
 		a.log.Emit(event.OrphanFreed, zap.String("attempt", id))
@@ -32,22 +31,22 @@
 			return err
 		}
 	}
-	a.health.suspects = suspects
+	a.health.orphanCandidates = unknown
 	return nil
 }
 
-// unknown returns those of the engine's requests that no job here stands for.
-func (a *Agent) unknown(ids []string) map[string]bool {
+// unknownRequests returns those of the engine's requests that have no job here.
+func (a *Agent) unknownRequests(ids []string) map[string]bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	suspects := make(map[string]bool)
+	unknown := make(map[string]bool)
 	for _, id := range ids {
-		suspects[id] = true
+		unknown[id] = true
 	}
 	if w, ok := a.worker.(*decodeWorker); ok {
 		for id := range w.jobs {
-			delete(suspects, id.String())
+			delete(unknown, id.String())
 		}
 	}
-	return suspects
+	return unknown
 }
--- a/agent/pace.go
+++ b/agent/pace.go
@@ -5,50 +5,55 @@
 	"time"
 )
 
-// pace is what an engine's prefills take, learned from those that ended.
-type pace struct {
+// prefillEstimate estimates the prefill time per token of an engine from
+// completed prefills. It is safe for concurrent use.
+type prefillEstimate struct {
 	mu       sync.Mutex
 	perToken time.Duration
 }
 
 const (
-	// firstPace is assumed before the first prefill ended.
-	firstPace = time.Millisecond
-	// leastPace keeps prefills from the cache from making the pace absurd.
-	leastPace = 50 * time.Microsecond
-	// paceWeight is the weight of one prefill in the moving mean.
-	paceWeight = 0.2
-	// paceFactor is how many times the usual time a prefill may take.
-	paceFactor = 4
-	// paceSlack is what it may take beyond that.
-	paceSlack = 750 * time.Millisecond
-	// prefillTries is how many connections a prefill may use.
-	prefillTries = 2
+	// initialPerToken is assumed until the first prefill has completed.
+	initialPerToken = time.Millisecond
+	// minPerToken is a lower bound. Without it, prefills that mostly hit the
+	// prefix cache would make the estimate unrealistically small.
+	minPerToken = 50 * time.Microsecond
+	// sampleWeight is the weight of a new sample in the exponential moving
+	// average.
+	sampleWeight = 0.2
+	// timeoutFactor is how many times the estimated time a prefill may take,
+	// and timeoutSlack what it may take beyond that.
+	timeoutFactor = 4
+	timeoutSlack  = 750 * time.Millisecond
+	// maxPrefillTries is how many connections a prefill may use.
+	maxPrefillTries = 2
 )
 
-func newPace() *pace { return &pace{perToken: firstPace} }
+func newPrefillEstimate() *prefillEstimate { return &prefillEstimate{perToken: initialPerToken} }
 
-// patience is how long a prefill may take before its connection counts as
-// silent.
-func (p *pace) patience(tokens int) time.Duration {
+// timeout returns after how long the connection of a prefill counts as silent.
+func (p *prefillEstimate) timeout(tokens int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return min(paceSlack+paceFactor*time.Duration(tokens)*p.perToken, prefillTimeout)
+	return min(timeoutSlack+timeoutFactor*time.Duration(tokens)*p.perToken, prefillTimeout)
 }
 
-func (p *pace) learn(took time.Duration, tokens int) {
+// observe adds a completed prefill to the estimate; tokens is the number of
+// prompt tokens that were computed rather than cached.
+func (p *prefillEstimate) observe(took time.Duration, tokens int) {
 	if tokens <= 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	sample := took / time.Duration(tokens)
-	p.perToken += time.Duration(paceWeight * float64(sample-p.perToken))
-	p.perToken = max(p.perToken, leastPace)
+	p.perToken += time.Duration(sampleWeight * float64(sample-p.perToken))
+	p.perToken = max(p.perToken, minPerToken)
 }
 
-// slower allows for an engine that became slow.
-func (p *pace) slower() {
+// double doubles the estimate after a timeout, in case the engine has become
+// slower.
+func (p *prefillEstimate) double() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.perToken *= 2
--- a/agent/plain.go
+++ b/agent/plain.go
@@ -12,35 +12,36 @@
 	"ebonypulley/wire"
 )
 
-// plainWorker connects the state machine of plain calls to the service and
-// to the entries.
+// plainWorker connects the state machine of plain calls to the service and to
+// the entries.
 type plainWorker struct {
-	a       *Agent
-	service service
-	server  *attempt.Server
-	members uint64
-	running map[wire.ID]context.CancelFunc
+	a           *Agent
+	service     service
+	server      *attempt.Server
+	membersHash uint64
+	running     map[wire.ID]context.CancelFunc
 }
 
 var _ attempt.Effects = (*plainWorker)(nil)
 
 func newPlainWorker(a *Agent, url string, doc *config.Document) *plainWorker {
 	w := &plainWorker{
-		a:       a,
-		service: newService(url, a.dial),
-		members: doc.MembersHash(a.pool.Service),
-		running: make(map[wire.ID]context.CancelFunc),
+		a:           a,
+		service:     newService(url, a.dial),
+		membersHash: doc.MembersHash(a.pool.Service),
+		running:     make(map[wire.ID]context.CancelFunc),
 	}
-	w.server = attempt.NewServer(time.Now(), a.inc, a.gate, keyLimits(doc), w)
+	w.server = attempt.NewServer(time.Now(), a.incarnation, a.leases, keyLimits(doc), w)
 	return w
 }
 
-// configure notes a change of the declared owners of Idempotency-Keys.
+// configure applies new limits on Idempotency-Keys and reports a change of the
+// declared members, which own the keys, to the attempt table.
 func (w *plainWorker) configure(doc *config.Document) {
 	w.server.Table().Configure(keyLimits(doc))
 	members := doc.MembersHash(w.a.pool.Service)
-	if members != w.members {
-		w.members = members
+	if members != w.membersHash {
+		w.membersHash = members
 		w.server.Table().MembersChanged(time.Now())
 	}
 }
@@ -62,25 +63,25 @@
 }
 
 func (w *plainWorker) offer(now time.Time, s *session, m *wire.Offer) {
-	if reason := w.refusal(m); reason != "" && !w.server.Known(m.ID) {
+	if reason := w.refusalReason(m); reason != "" && !w.server.Known(m.ID) {
 		w.a.refuse(s, m.ID, reason, 0)
 		return
 	}
 	w.server.Offer(now, s.holder, m)
 }
 
-// refusal tells why an offer can't be taken. A route that this agent's newer
-// document declares non-idempotent must not be run as an idempotent one, and
-// a key only has one owner among entries and agents that agree on the
-// declared endpoints.
-func (w *plainWorker) refusal(m *wire.Offer) wire.Reason {
-	if reason := w.a.refusal(); reason != "" {
+// refusalReason returns why an offer can't be taken, or "". A call that this
+// agent's newer configuration document declares non-idempotent must not run as
+// an idempotent one, and an Idempotency-Key has a single owner only if the
+// entry and the agent agree on the declared members.
+func (w *plainWorker) refusalReason(m *wire.Offer) wire.Reason {
+	if reason := w.a.refusalReason(); reason != "" {
 		return reason
 	}
 	if m.Service != w.a.pool.Service {
 		return wire.WrongRole
 	}
-	if m.Key != "" && m.Members != w.members {
+	if m.Key != "" && m.Members != w.membersHash {
 		return wire.StaleConfig
 	}
 	route := w.a.store.Current().Document.Route(m.Route)
@@ -95,7 +96,7 @@
 }
 
 func (w *plainWorker) granted(id wire.ID) { w.server.Granted(id) }
-func (w *plainWorker) dropped(id wire.ID, reason wire.Reason) {
+func (w *plainWorker) waitEnded(id wire.ID, reason wire.Reason) {
 	w.server.Dropped(time.Now(), id, reason)
 }
 func (w *plainWorker) expired(id wire.ID) { w.server.Expired(time.Now(), id) }
--- a/agent/prefill.go
+++ b/agent/prefill.go
@@ -13,15 +13,15 @@
 	"ebonypulley/wire"
 )
 
-// prefillWorker gates a prefill engine. Prompts wait here, not in the engine,
-// so that a cancelled one costs nothing.
+// prefillWorker serves a prefill engine. Prompts wait here and not in the
+// engine, so that cancelling a waiting one costs nothing.
 type prefillWorker struct {
-	a      *Agent
-	engine *engine.Client
-	url    string
-	jobs   map[wire.ID]*prefillJob
-	tokens int // of all jobs that are not done
-	pace   *pace
+	a        *Agent
+	engine   *engine.Client
+	url      string
+	jobs     map[wire.ID]*prefillJob
+	tokens   int // prompt tokens of all jobs that have not ended
+	estimate *prefillEstimate
 }
 
 type prefillJob struct {
@@ -31,20 +31,20 @@
 	tokens int
 	ctx    context.Context
 	cancel context.CancelFunc
-	ran    chan struct{} // nil before the run, closed after it
-	// reply is what the run ended with.
-	reply  wire.Message
-	done   time.Time
-	expiry time.Time
-	handle string
+	done   chan struct{} // nil before the run, closed after it
+	// reply is the result of the run.
+	reply      wire.Message
+	finishedAt time.Time
+	expiry     time.Time
+	handle     string
 }
 
-// keepPrefill is how long a finished prefill is remembered, so that a
-// repeated request gets its reply again.
-const keepPrefill = 5 * time.Second
+// replyRetention is how long the reply to a finished prefill is kept, so that a
+// repeated request gets it again.
+const replyRetention = 5 * time.Second
 
 func newPrefillWorker(a *Agent, url string) *prefillWorker {
-	return &prefillWorker{a: a, engine: engine.NewClient(url, a.dial.HTTPClient(false)), url: url, jobs: make(map[wire.ID]*prefillJob), pace: newPace()}
+	return &prefillWorker{a: a, engine: engine.NewClient(url, a.dial.HTTPClient(false)), url: url, jobs: make(map[wire.ID]*prefillJob), estimate: newPrefillEstimate()}
 }
 
 func (w *prefillWorker) handle(s *session, m wire.Attempted) {
@@ -61,17 +61,17 @@
 func (w *prefillWorker) prefill(s *session, m *wire.Prefill) {
 	if job, ok := w.jobs[m.ID]; ok {
 		if job.reply != nil {
-			w.a.reply(job.holder, job.fresh(time.Now()))
+			w.a.reply(job.holder, job.currentReply(time.Now()))
 		}
 		return
 	}
-	if reason := w.a.engineRefusal(m.Model); reason != "" {
+	if reason := w.a.engineRefusalReason(m.Model); reason != "" {
 		w.a.refuse(s, m.ID, reason, 0)
 		return
 	}
 	now := time.Now()
 	until := now.Add(m.Wait)
-	d := w.a.gate.Reserve(now, lease.Request{
+	d := w.a.leases.Reserve(now, lease.Request{
 		ID:        m.ID,
 		Holder:    s.holder,
 		Priority:  m.Priority,
@@ -92,7 +92,7 @@
 	}
 }
 
-// prefillTimeout bounds one prefill in the engine.
+// prefillTimeout bounds one prefill at the engine.
 const prefillTimeout = 30 * time.Second
 
 func (w *prefillWorker) granted(id wire.ID) {
@@ -101,17 +101,17 @@
 		w.a.release(id)
 		return
 	}
-	job.ran = make(chan struct{})
+	job.done = make(chan struct{})
 	w.a.spawn(func() { w.run(job) })
 }
 
 func (w *prefillWorker) run(job *prefillJob) {
-	defer close(job.ran)
-	out, err := w.compute(job)
+	defer close(job.done)
+	out, err := w.runPrefill(job)
 	w.a.mu.Lock()
 	defer w.a.mu.Unlock()
 	now := time.Now()
-	job.done = now
+	job.finishedAt = now
 	w.tokens -= job.tokens
 	w.a.release(job.id)
 	if err != nil {
@@ -122,51 +122,50 @@
 	} else {
 		job.expiry = now.Add(out.KV.ExpiresIn())
 		job.handle = out.KV.RemoteHandle
-		job.reply = w.prefilled(job, out)
+		job.reply = w.prefilledReply(job, out)
 	}
-	w.a.reply(job.holder, job.fresh(now))
+	w.a.reply(job.holder, job.currentReply(now))
 }
 
-// compute runs the prefill, on a second connection if the first brings
-// nothing for much longer than prefills take here.
+// runPrefill runs the prefill, and retries it on a new connection if it takes
+// much longer than prefills at this engine usually do.
 //
-// The connection to the engine goes silent. It shows
-// as a draft that waits for its first token until its deadline. The guard
-// holds because the time that a token takes is learned from the prefills that
-// did end, and the engine's prefix cache makes the repetition cheap.
-func (w *prefillWorker) compute(job *prefillJob) (engine.Completion, error) {
+// The connection to the engine can go silent, which would make a draft wait for
+// its first token until its deadline. The time per token is learned from
+// completed prefills, and the engine's prefix cache makes the retry cheap.
+func (w *prefillWorker) runPrefill(job *prefillJob) (engine.Completion, error) {
 	var out engine.Completion
 	var err error
-	for range prefillTries {
+	for range maxPrefillTries {
 		began := time.Now()
-		ctx, cancel := context.WithTimeout(job.ctx, w.pace.patience(job.tokens))
+		ctx, cancel := context.WithTimeout(job.ctx, w.estimate.timeout(job.tokens))
 		out, err = w.engine.Prefill(ctx, engine.CompletionRequest{
 			RequestID: job.id.String(),
 			Model:     job.req.Model,
 			Prompt:    job.req.Prompt,
 			Priority:  job.req.Priority,
 		})
-		late := ctx.Err() != nil && job.ctx.Err() == nil
+		timedOut := ctx.Err() != nil && job.ctx.Err() == nil
 		cancel()
 		if err == nil {
-			w.pace.learn(time.Since(began), job.tokens-out.Usage.CachedTokens)
+			w.estimate.observe(time.Since(began), job.tokens-out.Usage.CachedTokens)
 		}
-		if !late {
+		if !timedOut {
 			break
 		}
 		w.a.log.Emit(event.StreamReplaced, zap.Stringer("attempt", job.id), event.Err(err))
-		w.pace.slower()
+		w.estimate.double()
 		w.engine.Close()
 	}
 	return out, err
 }
 
-func (w *prefillWorker) prefilled(job *prefillJob, out engine.Completion) *wire.Prefilled {
+func (w *prefillWorker) prefilledReply(job *prefillJob, out engine.Completion) *wire.Prefilled {
 	return &wire.Prefilled{
 		ID: job.id,
 		KV: wire.KVRef{
 			URL:      w.url,
-			Endpoint: w.a.set.Name,
+			Endpoint: w.a.settings.Name,
 			Handle:   out.KV.RemoteHandle,
 			Bytes:    out.KV.RemoteBytes,
 		},
@@ -176,18 +175,18 @@
 	}
 }
 
-// fresh returns the reply with the time that the result has left.
-func (j *prefillJob) fresh(now time.Time) wire.Message {
+// currentReply returns the reply with the lifetime that the result has left.
+func (j *prefillJob) currentReply(now time.Time) wire.Message {
 	p, ok := j.reply.(*wire.Prefilled)
 	if !ok {
 		return j.reply
 	}
-	again := *p
-	again.KV.Lives = max(j.expiry.Sub(now), 0)
-	return &again
+	current := *p
+	current.KV.Lives = max(j.expiry.Sub(now), 0)
+	return &current
 }
 
-func (w *prefillWorker) dropped(id wire.ID, reason wire.Reason) {
+func (w *prefillWorker) waitEnded(id wire.ID, reason wire.Reason) {
 	job, ok := w.jobs[id]
 	if !ok {
 		return
@@ -198,17 +197,17 @@
 	delete(w.jobs, id)
 }
 
-func (w *prefillWorker) expired(id wire.ID) { w.end(id, nil) }
+func (w *prefillWorker) expired(id wire.ID) { w.stop(id, nil) }
 
 func (w *prefillWorker) cancel(s *session, id wire.ID) {
-	w.a.gate.Withdraw(time.Now(), id)
-	w.end(id, s)
+	w.a.leases.Withdraw(time.Now(), id)
+	w.stop(id, s)
 }
 
-// end stops an attempt wherever it stands: a waiting one never starts, a
-// running one is aborted, a finished one's result is dropped. The session,
-// if any, gets a Cancelled when the engine holds nothing any more.
-func (w *prefillWorker) end(id wire.ID, ack *session) {
+// stop ends an attempt in any state: a waiting one is not started, a running
+// one is aborted, and the result of a finished one is dropped. The session, if
+// any, gets a Cancelled message when the engine holds nothing for it any more.
+func (w *prefillWorker) stop(id wire.ID, ack *session) {
 	job, ok := w.jobs[id]
 	if !ok {
 		if ack != nil {
@@ -218,7 +217,7 @@
 	}
 	delete(w.jobs, id)
 	job.cancel()
-	if job.ran == nil {
+	if job.done == nil {
 		w.tokens -= job.tokens
 		w.a.release(id)
 		if ack != nil {
@@ -227,8 +226,8 @@
 		return
 	}
 	w.a.spawn(func() {
-		<-job.ran
-		w.a.abort(w.engine, id)
+		<-job.done
+		w.a.abortConfirmed(w.engine, id)
 		w.dropResult(job)
 		if ack != nil {
 			ack.send(&wire.Cancelled{ID: id})
@@ -247,7 +246,7 @@
 
 func (w *prefillWorker) tick(now time.Time) {
 	for id, job := range w.jobs {
-		if job.reply != nil && now.Sub(job.done) > keepPrefill {
+		if job.reply != nil && now.Sub(job.finishedAt) > replyRetention {
 			job.cancel()
 			delete(w.jobs, id)
 		}
@@ -267,4 +266,4 @@
 	return true
 }
 
-func (w *prefillWorker) pending() string { return fmt.Sprintf("prefills and results %d", len(w.jobs)) }
+func (w *prefillWorker) pending() string { return fmt.Sprintf("%d prefills and results", len(w.jobs)) }
--- a/agent/service.go
+++ b/agent/service.go
@@ -16,32 +16,32 @@
 	"ebonypulley/wire"
 )
 
-// service calls the plain service beside the agent.
+// service is a client of the plain service beside the agent.
 type service struct {
 	base string
 	http *http.Client
 }
 
-// maxAnswer bounds an answer of the service; it travels in one frame.
-const maxAnswer = 2 << 20
+// maxAnswerBytes is the maximum length of a service's answer, which is sent in
+// one frame.
+const maxAnswerBytes = 2 << 20
 
-// newService returns a client that uses a connection for one call only.
+// newService returns a client that uses each connection for one call only.
 //
-// Failures guarded against: a kept connection that went silent swallows the
-// next call, which shows as a lookup that never ends; and net/http by itself
-// repeats a request whose kept connection breaks before the answer, if it
-// counts as repeatable, as a POST with an Idempotency-Key does, which shows as
-// a booking that ran twice although it was started once. The guard holds
-// because a connection is used once: a request on a fresh one is not repeated.
+// A kept connection that has gone silent swallows the next call, so that a
+// lookup never ends. Also, net/http retries a request by itself when a kept
+// connection breaks before the answer and the request counts as repeatable, as
+// a POST with an Idempotency-Key does, so that a booking that was started once
+// runs twice. It does not retry a request on a fresh connection.
 func newService(base string, dial ebonypulley.Dialer) service {
 	client := dial.HTTPClient(true)
-	// A redirect is the caller's to follow.
+	// Redirects are returned to the caller, not followed.
 	client.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return service{base: strings.TrimSuffix(base, "/"), http: client}
 }
 
-// call runs one call. Without an answer, sent tells whether the service may
-// have seen the call: it is false only when no connection was had.
+// call runs one call. If it returns an error, sent reports whether the service
+// may have received the call; it is false only if no connection could be made.
 func (s service) call(ctx context.Context, o *wire.Offer, m *wire.Start) (answer attempt.Answer, sent bool, err error) {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent = true }}
 	target := s.base + o.Path
@@ -60,12 +60,12 @@
 		return answer, sent, engine.ErrUnreachable.Wrap(err, "call")
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
 		return answer, true, engine.ErrUnreachable.Wrap(err, "answer")
 	}
-	if len(body) > maxAnswer {
-		return answer, true, engine.ErrRefused.New("answer is longer than %d bytes", maxAnswer)
+	if len(body) > maxAnswerBytes {
+		return answer, true, engine.ErrRefused.New("answer is longer than %d bytes", maxAnswerBytes)
 	}
 	return attempt.Answer{Status: resp.StatusCode, Headers: wire.Headers(resp.Header), Body: body}, true, nil
 }
--- a/agent/session.go
+++ b/agent/session.go
@@ -14,10 +14,10 @@
 
 // session is one connection from an entry.
 type session struct {
-	conn   *wire.Conn
-	holder wire.Incarnation
-	number uint64 // among the holder's connections
-	name   string
+	conn       *wire.Conn
+	holder     wire.Incarnation
+	connection uint64 // number of this connection among those of the holder
+	name       string
 }
 
 func (s *session) send(m wire.Message) {
@@ -28,21 +28,21 @@
 
 func (a *Agent) serveSession(ctx context.Context, nc net.Conn) {
 	s := &session{conn: wire.NewConn(nc)}
-	late := time.AfterFunc(helloWait, s.conn.Close)
-	defer late.Stop()
+	helloTimer := time.AfterFunc(helloTimeout, s.conn.Close)
+	defer helloTimer.Stop()
 	err := s.conn.Serve(ctx, func(m wire.Message) {
 		if s.name == "" {
-			if a.greet(s, m) {
-				late.Stop()
+			if a.handshake(s, m) {
+				helloTimer.Stop()
 			}
 			return
 		}
 		a.handle(s, m)
 	})
-	if wireFault(err) {
+	if isProtocolError(err) {
 		a.log.Emit(event.PeerRefused, zap.String("remote", s.conn.Remote()), event.Err(err))
 	}
-	a.ask.Lost(s)
+	a.configFetch.Lost(s)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.sessions, s)
@@ -51,8 +51,9 @@
 	}
 }
 
-// greet admits an entry; anything but a fitting Hello ends the connection.
-func (a *Agent) greet(s *session, m wire.Message) bool {
+// handshake accepts a connection from an entry. Anything but a valid Hello
+// closes it.
+func (a *Agent) handshake(s *session, m wire.Message) bool {
 	h, ok := m.(*wire.Hello)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -63,52 +64,52 @@
 	}
 	s.name = h.Name
 	s.holder = h.Incarnation
-	s.number = h.Connection
+	s.connection = h.Connection
 	a.sessions[s] = struct{}{}
 	a.register(s)
 	v := a.store.Version()
 	s.send(&wire.Hello{
 		Version:     wire.Version,
 		Role:        string(a.pool.Role),
-		Name:        a.set.Name,
-		DataCentre:  a.set.DataCentre,
-		Incarnation: a.inc,
+		Name:        a.settings.Name,
+		DataCentre:  a.settings.DataCentre,
+		Incarnation: a.incarnation,
 		Generation:  v.Generation,
 		Digest:      v.Digest,
 	})
-	a.renew(s)
+	a.renewLeases(s)
 	s.send(a.pong(0))
-	a.compare(s, config.Version{Generation: h.Generation, Digest: h.Digest})
+	a.fetchIfNewer(s, config.Version{Generation: h.Generation, Digest: h.Digest})
 	return true
 }
 
-// register makes s the connection that its holder's replies go to, unless a
-// later one is.
+// register sends replies to the holder over s, unless the holder has opened a
+// later connection.
 //
-// An agent that was paused finds several connections
-// of one entry in its queue, all but the last given up by then, and greets
-// them in any order. It shows as replies that go to a dead connection: calls
-// granted but never started, until their deadline. The guard holds because
-// the entry numbers its connections.
+// After a pause the agent finds several connections of one entry in its accept
+// queue. The entry has given up all but the last one, and the handshakes
+// complete in any order. Without the connection number, replies could go to a
+// dead connection, and calls would be granted but not started until their
+// deadline.
 func (a *Agent) register(s *session) {
 	old := a.holders[s.holder]
-	if old == nil || s.number > old.number {
+	if old == nil || s.connection > old.connection {
 		a.holders[s.holder] = s
 	}
 }
 
-// reply sends to an entry on its latest connection. Without one the message
-// is lost, and the entry repeats its request when it has connected.
+// reply sends m to an entry on its latest connection. Without a connection the
+// message is dropped; the entry repeats its request after it has reconnected.
 func (a *Agent) reply(holder wire.Incarnation, m wire.Message) {
 	if s := a.holders[holder]; s != nil {
 		s.send(m)
 	}
 }
 
-func (a *Agent) renew(s *session) {
-	a.peerSeen = time.Now()
-	if a.gate != nil {
-		a.gate.Renew(a.peerSeen, s.holder)
+func (a *Agent) renewLeases(s *session) {
+	a.lastHeartbeat = time.Now()
+	if a.leases != nil {
+		a.leases.Renew(a.lastHeartbeat, s.holder)
 	}
 }
 
@@ -120,7 +121,7 @@
 func (a *Agent) handle(s *session, m wire.Message) {
 	if c, ok := m.(*wire.Config); ok {
 		verdict, findings := a.store.Offer("peer "+s.name, c.Text)
-		a.ask.Came(s, verdict)
+		a.configFetch.Came(s, verdict)
 		config.LogVerdict(a.log, verdict, a.store.Generation(), findings)
 		return
 	}
@@ -128,28 +129,29 @@
 	defer a.mu.Unlock()
 	switch m := m.(type) {
 	case *wire.Ping:
-		a.renew(s)
+		a.renewLeases(s)
 		s.send(a.pong(m.Seq))
-		a.compare(s, config.Version{Generation: m.Generation, Digest: m.Digest})
+		a.fetchIfNewer(s, config.Version{Generation: m.Generation, Digest: m.Digest})
 	case *wire.ConfigWanted:
 		if cur := a.store.Current(); cur != nil {
 			s.send(&wire.Config{Text: cur.Text})
 		}
 	case wire.Attempted:
-		a.attempt(s, m)
+		a.handleAttempt(s, m)
 	}
 }
 
-// compare asks an entry that has a newer document for it.
-func (a *Agent) compare(s *session, theirs config.Version) {
-	if theirs.Newer(a.store.Version()) && a.ask.Begin(time.Now(), s, theirs) {
+// fetchIfNewer requests the configuration document of an entry that has a newer
+// one.
+func (a *Agent) fetchIfNewer(s *session, theirs config.Version) {
+	if theirs.Newer(a.store.Version()) && a.configFetch.Begin(time.Now(), s, theirs) {
 		s.send(&wire.ConfigWanted{})
 	}
 }
 
-// attempt hands a message to the worker. Before there is one nothing can have
-// been held, so a Cancel is true as it stands and all else is refused.
-func (a *Agent) attempt(s *session, m wire.Attempted) {
+// handleAttempt passes a message to the worker. Without a worker no attempt can
+// hold anything, so that a Cancel is acknowledged and anything else refused.
+func (a *Agent) handleAttempt(s *session, m wire.Attempted) {
 	if a.worker != nil {
 		a.worker.handle(s, m)
 		return
@@ -161,7 +163,7 @@
 	s.send(&wire.Refused{ID: m.Attempt(), Reason: wire.NoConfig, Load: a.load()})
 }
 
-// refuse answers a request for which nothing ran and nothing will.
+// refuse replies to a request that did not run and will not.
 func (a *Agent) refuse(s *session, id wire.ID, reason wire.Reason, after time.Duration) {
 	s.send(&wire.Refused{ID: id, Reason: reason, RetryAfter: after, Load: a.load()})
 }
