--- a/attempt/client.go
+++ b/attempt/client.go
@@ -4,29 +4,31 @@
 	"ebonypulley/wire"
 )
 
-// Fate is what an entry may truthfully say of an attempt.
+// Fate is what an entry may report of a finished attempt.
 type Fate int
 
-// Fates.
 const (
-	// Answered: the Outcome is the service's answer.
+	// Answered means that the service answered; the answer is in the Outcome.
 	Answered Fate = iota
-	// Refused: the agent refused before the start; nothing ran.
+	// Refused means that the agent refused the call before its start; nothing ran.
 	Refused
-	// NotRun: nothing ran, and nothing will.
+	// NotRun means that the call has not run and never will.
 	NotRun
-	// Unknown: it may have run.
+	// Unknown means that the call may have run.
 	Unknown
 )
 
-// End is the end of an attempt as its entry sees it.
+// End is the result of an attempt as its entry sees it.
 type End struct {
-	Fate    Fate
+	Fate Fate
+	// Outcome is set for Answered.
 	Outcome *wire.Outcome
+	// Refusal is set for Refused.
 	Refusal *wire.Refused
 }
 
-// Step is what the entry does next: send a message, end the attempt, or wait.
+// Step is what the entry does next: send a message, end the attempt or, if both
+// fields are nil, wait.
 type Step struct {
 	Send wire.Message
 	End  *End
@@ -37,41 +39,42 @@
 const (
 	offering clientPhase = iota
 	starting
-	settling
-	over
+	withdrawing
+	finished
 )
 
 // Client is the entry's side of one attempt at a plain call, a state machine
 // without I/O.
 //
-// An entry that lost its connection, or its agent,
-// calls a booking "not run" that did run. The guard holds because before
-// Start was sent nothing can have run, and after it only an Outcome of the
-// incarnation that was granted the attempt counts.
+// It prevents an entry that lost its connection or its agent from reporting
+// NotRun for a call that did run. Before Start is sent nothing can have run;
+// afterwards the Client accepts only an Outcome of the incarnation that granted
+// the attempt.
 type Client struct {
-	phase clientPhase
-	inc   wire.Incarnation
-	offer *wire.Offer
-	start *wire.Start
+	phase       clientPhase
+	incarnation wire.Incarnation
+	offer       *wire.Offer
+	start       *wire.Start
 }
 
-// NewClient returns the machine of an attempt at an agent's incarnation.
-func NewClient(inc wire.Incarnation, offer *wire.Offer, start *wire.Start) *Client {
+// NewClient returns a Client for an attempt at the given incarnation of an
+// agent. It sets the ID and the incarnation of start.
+func NewClient(incarnation wire.Incarnation, offer *wire.Offer, start *wire.Start) *Client {
 	start.ID = offer.ID
-	start.Incarnation = inc
-	return &Client{inc: inc, offer: offer, start: start}
+	start.Incarnation = incarnation
+	return &Client{incarnation: incarnation, offer: offer, start: start}
 }
 
-// Begin sends the offer.
+// Begin returns the first step, which sends the offer.
 func (c *Client) Begin() Step { return Step{Send: c.offer} }
 
 // Started reports whether the call may have run.
-func (c *Client) Started() bool { return c.phase == starting || c.phase == settling }
+func (c *Client) Started() bool { return c.phase == starting || c.phase == withdrawing }
 
-// Connected tells that a connection stands again; the last message is
-// repeated, unless another incarnation is there.
-func (c *Client) Connected(inc wire.Incarnation) Step {
-	if inc != c.inc {
+// Connected reports that a connection to the given incarnation of the agent is
+// established. The last message is sent again, unless the agent has restarted.
+func (c *Client) Connected(incarnation wire.Incarnation) Step {
+	if incarnation != c.incarnation {
 		return c.Lost()
 	}
 	switch c.phase {
@@ -79,14 +82,14 @@
 		return Step{Send: c.offer}
 	case starting:
 		return Step{Send: c.start}
-	case settling:
+	case withdrawing:
 		return Step{Send: &wire.Withdraw{ID: c.offer.ID}}
 	default:
 		return Step{}
 	}
 }
 
-// Lost tells that the agent was restarted or stays away.
+// Lost reports that the agent has restarted or can't be reached.
 func (c *Client) Lost() Step {
 	if c.Started() {
 		return c.end(End{Fate: Unknown})
@@ -94,25 +97,27 @@
 	return c.end(End{Fate: NotRun})
 }
 
-// Expire tells that the deadline passed. A started call asks the agent for
-// its last word; the caller must call Settled soon after.
+// Expire reports that the deadline has passed. For a started call the agent is
+// asked for the final state; if it does not answer soon, the caller of Expire
+// must call Settled.
 func (c *Client) Expire() Step {
 	if c.phase == starting {
-		c.phase = settling
+		c.phase = withdrawing
 		return Step{Send: &wire.Withdraw{ID: c.offer.ID}}
 	}
 	return c.Lost()
 }
 
-// Settled tells that the agent's last word did not come in time.
+// Settled ends the attempt without waiting for the agent's final state any
+// longer.
 func (c *Client) Settled() Step { return c.Lost() }
 
-// Receive takes a message of the attempt.
+// Receive handles a message from the agent.
 func (c *Client) Receive(m wire.Message) Step {
 	switch m := m.(type) {
 	case *wire.Granted:
 		if c.phase != offering {
-			return Step{} // a repetition
+			return Step{} // a repeated grant
 		}
 		c.phase = starting
 		return Step{Send: c.start}
@@ -122,15 +127,15 @@
 		}
 		return c.end(End{Fate: Refused, Refusal: m})
 	case *wire.Outcome:
-		return c.outcome(m)
+		return c.receiveOutcome(m)
 	default:
 		return Step{}
 	}
 }
 
-func (c *Client) outcome(m *wire.Outcome) Step {
+func (c *Client) receiveOutcome(m *wire.Outcome) Step {
 	switch {
-	case c.phase == over || m.State == wire.Running:
+	case c.phase == finished || m.State == wire.Running:
 		return Step{}
 	case m.State == wire.Done:
 		return c.end(End{Fate: Answered, Outcome: m})
@@ -142,9 +147,9 @@
 }
 
 func (c *Client) end(e End) Step {
-	if c.phase == over {
+	if c.phase == finished {
 		return Step{}
 	}
-	c.phase = over
+	c.phase = finished
 	return Step{End: &e}
 }
--- a/attempt/key.go
+++ b/attempt/key.go
@@ -8,28 +8,31 @@
 	"ebonypulley/wire"
 )
 
-// Key is an Idempotency-Key in the scope of its workspace.
+// Key is an Idempotency-Key, scoped to a workspace.
 type Key struct {
 	Workspace string
 	Value     string
-	// Fingerprint is a hash of the call; two calls with one key must agree.
+	// Fingerprint is a hash of the call. Calls with the same key must have the
+	// same fingerprint.
 	Fingerprint uint64
 }
 
-// KeyLimits bound the memory of keys.
+// KeyLimits bounds the table of idempotency keys.
 type KeyLimits struct {
 	// Window is how long a key is remembered.
 	Window time.Duration
-	// Count is how many keys are remembered.
+	// Count is the maximum number of keys remembered.
 	Count int
 }
 
 const (
-	// clockMargin is how far the clocks of callers and agents may differ.
-	clockMargin = 2 * time.Second
-	// changeMargin covers a changed declaration: it is in force everywhere
-	// within 5 s, beside the difference of the clocks.
-	changeMargin = 5*time.Second + clockMargin
+	// maxClockSkew is the assumed maximum difference between the clocks of
+	// callers and agents.
+	maxClockSkew = 2 * time.Second
+	// ownerChangeMargin is how long after a change of the key owners other
+	// owners may still accept keys: a configuration is in force everywhere
+	// within 5 s, and clocks may differ.
+	ownerChangeMargin = 5*time.Second + maxClockSkew
 )
 
 type scopedKey struct {
@@ -42,65 +45,66 @@
 	fingerprint uint64
 	phase       phase
 	answer      *Answer
-	at          time.Time
+	offeredAt   time.Time
 }
 
-// keyTable remembers keys for the window.
+// keyTable remembers idempotency keys for KeyLimits.Window.
 //
-// A caller repeats a booking, through another entry
-// or after the owner lost its memory, and the booking runs twice. The guard
-// holds because the key has one owner, and an owner whose memory does not
-// reach back to the key's mint refuses instead of running it.
+// It prevents a call from running twice when its caller repeats it through
+// another entry or after the key's owner has restarted: each key has one owner,
+// and an owner whose table does not reach back to the creation of the key
+// refuses the call instead of running it.
 type keyTable struct {
-	// since is the mint time from which on a key without a record is new.
-	since  time.Time
-	limits KeyLimits
-	keys   map[scopedKey]*keyRecord
-	// kept are the records with an answer, oldest first, and bytes the size
-	// of those answers.
-	kept  []*keyRecord
-	bytes int
+	// completeSince is when the table became complete: a key that was created
+	// later and has no record is new.
+	completeSince time.Time
+	limits        KeyLimits
+	keys          map[scopedKey]*keyRecord
+	// answered holds the records that still have their answer, oldest first;
+	// answerBytes is the total size of those answers.
+	answered    []*keyRecord
+	answerBytes int
 }
 
 func newKeyTable(now time.Time, limits KeyLimits) *keyTable {
-	return &keyTable{since: now.Add(clockMargin), limits: limits, keys: make(map[scopedKey]*keyRecord)}
+	return &keyTable{completeSince: now.Add(maxClockSkew), limits: limits, keys: make(map[scopedKey]*keyRecord)}
 }
 
-func (t *keyTable) offer(now time.Time, id wire.ID, k Key) Verdict {
-	name := scopedKey{k.Workspace, k.Value}
-	if rec, ok := t.keys[name]; ok {
-		return rec.verdict(k)
+func (t *keyTable) offer(now time.Time, id wire.ID, k Key) Decision {
+	scoped := scopedKey{k.Workspace, k.Value}
+	if rec, ok := t.keys[scoped]; ok {
+		return rec.decision(k)
 	}
-	if !t.covers(now, k.Value) {
-		return Verdict{Reason: wire.KeyUnknown}
+	if !t.isNew(now, k.Value) {
+		return Decision{Reason: wire.KeyUnknown}
 	}
 	if len(t.keys) >= t.limits.Count {
-		return Verdict{Reason: wire.KeyMemory}
+		return Decision{Reason: wire.KeyMemory}
 	}
-	t.keys[name] = &keyRecord{id: id, fingerprint: k.Fingerprint, phase: offered, at: now}
-	return Verdict{Admit: true}
+	t.keys[scoped] = &keyRecord{id: id, fingerprint: k.Fingerprint, phase: offered, offeredAt: now}
+	return Decision{Admitted: true}
 }
 
-func (r *keyRecord) verdict(k Key) Verdict {
+func (r *keyRecord) decision(k Key) Decision {
 	switch {
 	case r.fingerprint != k.Fingerprint:
-		return Verdict{Reason: wire.KeyReused}
+		return Decision{Reason: wire.KeyReused}
 	case r.phase == done && r.answer != nil:
-		return Verdict{Replay: r.answer}
+		return Decision{Replay: r.answer}
 	case r.phase == done:
-		return Verdict{Reason: wire.KeyDone}
+		return Decision{Reason: wire.KeyDone}
 	case r.phase == unknown:
-		return Verdict{Reason: wire.KeyUnknown}
+		return Decision{Reason: wire.KeyUnknown}
 	default:
-		return Verdict{Reason: wire.KeyRunning}
+		return Decision{Reason: wire.KeyRunning}
 	}
 }
 
-// covers reports whether a key without a record is certainly new: the memory
-// reaches back over the whole window, or the key was minted, by its UUIDv7
-// time, after the memory began.
-func (t *keyTable) covers(now time.Time, value string) bool {
-	if now.Sub(t.since) >= t.limits.Window {
+// isNew reports whether a key without a record is certainly new: either the
+// table covers the whole window, or the key is a UUIDv7 whose time lies after
+// completeSince. A key from the future is not accepted, beyond maxClockSkew.
+func (t *keyTable) isNew(now time.Time, value string) bool {
+	if now.Sub(t.completeSince) >= t.limits.Window {
 		return true
 	}
 	u, err := uuid.Parse(value)
@@ -108,11 +112,12 @@
 		return false
 	}
 	sec, nsec := u.Time().UnixTime()
-	minted := time.Unix(sec, nsec)
-	return minted.After(t.since) && minted.Before(now.Add(clockMargin))
+	created := time.Unix(sec, nsec)
+	return created.After(t.completeSince) && created.Before(now.Add(maxClockSkew))
 }
 
-func (t *keyTable) own(id wire.ID, k *Key) *keyRecord {
+// ownedRecord returns the record of a key if attempt id registered it, else nil.
+func (t *keyTable) ownedRecord(id wire.ID, k *Key) *keyRecord {
 	if k == nil {
 		return nil
 	}
@@ -124,57 +129,57 @@
 }
 
 func (t *keyTable) start(id wire.ID, k *Key) {
-	if rec := t.own(id, k); rec != nil {
+	if rec := t.ownedRecord(id, k); rec != nil {
 		rec.phase = started
 	}
 }
 
 func (t *keyTable) finish(id wire.ID, k *Key, a *Answer) {
-	if rec := t.own(id, k); rec != nil {
+	if rec := t.ownedRecord(id, k); rec != nil {
 		rec.phase = done
 		rec.answer = a
-		t.keep(rec)
+		t.retainAnswer(rec)
 	}
 }
 
-// maxAnswerBytes bounds the answers kept for replay; beyond it the oldest are
-// dropped, but never the memory that their calls ran.
+// maxAnswerBytes bounds the answers kept for replay. Beyond it the oldest
+// answers are dropped; the records that their calls ran stay.
 const maxAnswerBytes = 4 << 20
 
-func (t *keyTable) keep(rec *keyRecord) {
-	t.kept = append(t.kept, rec)
-	t.bytes += len(rec.answer.Body)
-	for t.bytes > maxAnswerBytes {
+func (t *keyTable) retainAnswer(rec *keyRecord) {
+	t.answered = append(t.answered, rec)
+	t.answerBytes += len(rec.answer.Body)
+	for t.answerBytes > maxAnswerBytes {
 		t.dropOldest()
 	}
 }
 
 func (t *keyTable) dropOldest() {
-	t.bytes -= len(t.kept[0].answer.Body)
-	t.kept[0].answer = nil
-	t.kept = t.kept[1:]
+	t.answerBytes -= len(t.answered[0].answer.Body)
+	t.answered[0].answer = nil
+	t.answered = t.answered[1:]
 }
 
 func (t *keyTable) fail(id wire.ID, k *Key) {
-	if rec := t.own(id, k); rec != nil {
+	if rec := t.ownedRecord(id, k); rec != nil {
 		rec.phase = unknown
 	}
 }
 
-// release forgets a key whose attempt provably did not run.
+// release deletes the record of a key whose attempt provably did not run.
 func (t *keyTable) release(id wire.ID, k *Key) {
-	if rec := t.own(id, k); rec != nil {
+	if rec := t.ownedRecord(id, k); rec != nil {
 		delete(t.keys, scopedKey{k.Workspace, k.Value})
 	}
 }
 
 func (t *keyTable) tick(now time.Time) {
-	for len(t.kept) > 0 && now.Sub(t.kept[0].at) > t.limits.Window {
+	for len(t.answered) > 0 && now.Sub(t.answered[0].offeredAt) > t.limits.Window {
 		t.dropOldest()
 	}
-	for name, rec := range t.keys {
-		if rec.phase != started && rec.phase != offered && now.Sub(rec.at) > t.limits.Window {
-			delete(t.keys, name)
+	for scoped, rec := range t.keys {
+		if rec.phase != started && rec.phase != offered && now.Sub(rec.offeredAt) > t.limits.Window {
+			delete(t.keys, scoped)
 		}
 	}
 }
--- a/attempt/server.go
+++ b/attempt/server.go
@@ -8,66 +8,69 @@
 	"ebonypulley/wire"
 )
 
-// Effects is what a Server asks of the process around it.
+// Effects carries out the side effects that a Server requests.
 type Effects interface {
-	// Reply sends a message to the entry that is the holder, on its latest
-	// connection, if it has one.
+	// Reply sends a message to the holder, an entry, on its latest connection.
+	// Without a connection the message is dropped.
 	Reply(holder wire.Incarnation, m wire.Message)
-	// Run calls the service; Ended must follow once.
+	// Run calls the service. Server.Ended must be called exactly once afterwards.
 	Run(offer *wire.Offer, start *wire.Start, deadline time.Time)
-	// Abort cuts off a running idempotent call.
+	// Abort cancels a running idempotent call.
 	Abort(id wire.ID)
-	// Release ends the lease of an attempt and hands on what became free.
+	// Release ends the lease of an attempt and grants the freed capacity to
+	// waiting requests.
 	Release(id wire.ID)
 }
 
 // Server is the agent's side of all plain calls at one endpoint, a state
-// machine without I/O: a call is offered, granted a lease, and only then
-// started, once.
+// machine without I/O. A call is offered, is granted a lease, and only then is
+// started, at most once.
 type Server struct {
-	inc   wire.Incarnation
-	table *Table
-	gate  *lease.Table
-	out   Effects
-	calls map[wire.ID]*served
+	incarnation wire.Incarnation
+	table       *Table
+	leases      *lease.Table
+	effects     Effects
+	calls       map[wire.ID]*serverCall
 }
 
-// served is an admitted or waiting call.
-type served struct {
+// serverCall is a call that waits for its lease, runs, or has ended with a
+// result that the entry has not acknowledged.
+type serverCall struct {
 	offer    *wire.Offer
 	holder   wire.Incarnation
 	deadline time.Time
 	ended    bool
 }
 
-// NewServer returns the machine of an agent's incarnation that began at now.
-func NewServer(now time.Time, inc wire.Incarnation, gate *lease.Table, keys KeyLimits, out Effects) *Server {
-	return &Server{inc: inc, table: NewTable(now, keys), gate: gate, out: out, calls: make(map[wire.ID]*served)}
+// NewServer returns a Server for the given incarnation of an agent, which started
+// at now.
+func NewServer(now time.Time, incarnation wire.Incarnation, leases *lease.Table, keys KeyLimits, effects Effects) *Server {
+	return &Server{incarnation: incarnation, table: NewTable(now, keys), leases: leases, effects: effects, calls: make(map[wire.ID]*serverCall)}
 }
 
-// Table returns the attempts, for their configuration.
+// Table returns the table of attempts, so that it can be configured.
 func (s *Server) Table() *Table { return s.table }
 
-// Known reports whether the attempt is admitted or waits.
+// Known reports whether the server tracks the attempt.
 func (s *Server) Known(id wire.ID) bool { return s.calls[id] != nil }
 
 // Offer registers a call and asks for its lease.
 func (s *Server) Offer(now time.Time, holder wire.Incarnation, m *wire.Offer) {
 	if s.Known(m.ID) {
-		if s.gate.Holds(m.ID) {
+		if s.leases.Holds(m.ID) {
 			s.Granted(m.ID)
 		}
 		return
 	}
 	deadline := now.Add(m.Deadline)
-	v := s.table.Offer(now, m.ID, deadline, keyOf(m))
+	d := s.table.Offer(now, m.ID, deadline, keyOf(m))
 	switch {
-	case v.Replay != nil:
-		out := outcome(m.ID, wire.Done, v.Replay)
+	case d.Replay != nil:
+		out := newOutcome(m.ID, wire.Done, d.Replay)
 		out.Replayed = true
-		s.out.Reply(holder, out)
-	case !v.Admit:
-		s.out.Reply(holder, &wire.Refused{ID: m.ID, Reason: v.Reason})
+		s.effects.Reply(holder, out)
+	case !d.Admitted:
+		s.effects.Reply(holder, &wire.Refused{ID: m.ID, Reason: d.Reason})
 	default:
 		s.admit(now, holder, m, deadline)
 	}
@@ -81,7 +84,7 @@
 }
 
 func (s *Server) admit(now time.Time, holder wire.Incarnation, m *wire.Offer, deadline time.Time) {
-	d := s.gate.Reserve(now, lease.Request{
+	d := s.leases.Reserve(now, lease.Request{
 		ID:        m.ID,
 		Holder:    holder,
 		Priority:  m.Priority,
@@ -91,23 +94,23 @@
 	})
 	if !d.Granted && !d.Queued {
 		s.table.Withdraw(now, m.ID)
-		s.out.Reply(holder, &wire.Refused{ID: m.ID, Reason: d.Reason, RetryAfter: d.RetryAfter})
+		s.effects.Reply(holder, &wire.Refused{ID: m.ID, Reason: d.Reason, RetryAfter: d.RetryAfter})
 		return
 	}
-	s.calls[m.ID] = &served{offer: m, holder: holder, deadline: deadline}
+	s.calls[m.ID] = &serverCall{offer: m, holder: holder, deadline: deadline}
 	if d.Granted {
 		s.Granted(m.ID)
 	}
 }
 
-// Granted tells that a call has its lease.
+// Granted reports that a call has been granted its lease.
 func (s *Server) Granted(id wire.ID) {
 	if c, ok := s.calls[id]; ok {
-		s.out.Reply(c.holder, &wire.Granted{ID: id})
+		s.effects.Reply(c.holder, &wire.Granted{ID: id})
 	}
 }
 
-// Dropped tells that a waiting call was refused.
+// Dropped reports that a waiting call was removed from the queue.
 func (s *Server) Dropped(now time.Time, id wire.ID, reason wire.Reason) {
 	c, ok := s.calls[id]
 	if !ok {
@@ -115,49 +118,49 @@
 	}
 	s.table.Withdraw(now, id)
 	delete(s.calls, id)
-	s.out.Reply(c.holder, &wire.Refused{ID: id, Reason: reason})
+	s.effects.Reply(c.holder, &wire.Refused{ID: id, Reason: reason})
 }
 
-// Start runs a call that holds its lease; a repeated Start only asks for the
-// outcome. One for another incarnation, or without a lease, gets the final
-// word instead: it never runs here.
+// Start runs a call that holds its lease. A repeated Start only gets the current
+// state as its reply. A Start for another incarnation or without a lease
+// withdraws the attempt, so that it never runs here, and gets the final state.
 func (s *Server) Start(now time.Time, holder wire.Incarnation, m *wire.Start) {
 	c, ok := s.calls[m.ID]
-	if m.Incarnation != s.inc || !ok || !c.ended && !s.gate.Holds(m.ID) {
+	if m.Incarnation != s.incarnation || !ok || !c.ended && !s.leases.Holds(m.ID) {
 		s.Withdraw(now, holder, m.ID)
 		return
 	}
 	run, _ := s.table.Start(now, m.ID)
 	if !run {
-		s.report(holder, m.ID)
+		s.replyState(holder, m.ID)
 		return
 	}
-	s.out.Run(c.offer, m, c.deadline)
+	s.effects.Run(c.offer, m, c.deadline)
 }
 
-// Ended tells how a started call ended: with an answer, or without one; then
-// sent tells whether the service may have seen the call.
+// Ended reports the end of a started call. If answer is nil, sent reports
+// whether the service may have received the call.
 func (s *Server) Ended(id wire.ID, answer *Answer, sent bool) {
 	if answer != nil {
 		s.table.Finish(id, *answer)
 	} else {
 		s.table.Fail(id, !sent)
 	}
-	s.out.Release(id)
+	s.effects.Release(id)
 	if c, ok := s.calls[id]; ok {
 		c.ended = true
-		s.report(c.holder, id)
+		s.replyState(c.holder, id)
 	}
 }
 
-// report sends the state of an attempt; Running is sent as well, so that the
-// entry knows it was heard.
-func (s *Server) report(holder wire.Incarnation, id wire.ID) {
+// replyState sends the state of an attempt. Running is sent as well, to
+// acknowledge the entry's message.
+func (s *Server) replyState(holder wire.Incarnation, id wire.ID) {
 	state, answer, _ := s.table.State(id)
-	s.out.Reply(holder, outcome(id, state, answer))
+	s.effects.Reply(holder, newOutcome(id, state, answer))
 }
 
-func outcome(id wire.ID, state wire.State, answer *Answer) *wire.Outcome {
+func newOutcome(id wire.ID, state wire.State, answer *Answer) *wire.Outcome {
 	out := &wire.Outcome{ID: id, State: state}
 	if answer != nil {
 		out.Status = answer.Status
@@ -167,65 +170,70 @@
 	return out
 }
 
-// Withdraw gives the final word; a call that did not start never will.
+// Withdraw replies with the final state of an attempt. A call that has not
+// started never will.
 func (s *Server) Withdraw(now time.Time, holder wire.Incarnation, id wire.ID) {
 	state, answer := s.table.Withdraw(now, id)
 	if state == wire.NotRun {
-		s.drop(now, id)
+		s.dropUnstarted(now, id)
 	}
-	s.out.Reply(holder, outcome(id, state, answer))
+	s.effects.Reply(holder, newOutcome(id, state, answer))
 }
 
-func (s *Server) drop(now time.Time, id wire.ID) {
-	s.gate.Withdraw(now, id)
+// dropUnstarted removes a call that will never start, and frees its lease or its
+// place in the queue.
+func (s *Server) dropUnstarted(now time.Time, id wire.ID) {
+	s.leases.Withdraw(now, id)
 	delete(s.calls, id)
-	s.out.Release(id)
+	s.effects.Release(id)
 }
 
-// Cancel tells that the caller is gone. A call that did not start never will;
-// an idempotent one is cut off; a non-idempotent one runs to its end, because
-// half a booking helps nobody.
+// Cancel reports that the caller is gone. A call that has not started never
+// will. A running idempotent call is aborted; a running non-idempotent call
+// continues to its end, because a partly executed call, such as half a booking,
+// is of no use to anyone.
 func (s *Server) Cancel(now time.Time, holder wire.Incarnation, id wire.ID) {
 	state, _ := s.table.Withdraw(now, id)
 	c, ok := s.calls[id]
 	switch {
 	case ok && state == wire.Running:
 		if c.offer.Idempotent {
-			s.out.Abort(id)
+			s.effects.Abort(id)
 		}
-		return // the entry repeats; the acknowledgement comes after the end
+		return // the entry repeats Cancel and gets Cancelled after the call's end
 	case state == wire.NotRun:
-		s.drop(now, id)
+		s.dropUnstarted(now, id)
 	default:
 		delete(s.calls, id)
-		s.table.Forget(id)
+		s.table.DropAnswer(id)
 	}
-	s.out.Reply(holder, &wire.Cancelled{ID: id})
+	s.effects.Reply(holder, &wire.Cancelled{ID: id})
 }
 
-// Expired tells that a lease ended without its holder. A started call ends by
-// itself and releases then.
+// Expired reports that a lease has expired. A started call continues and
+// releases its lease at its end.
 func (s *Server) Expired(now time.Time, id wire.ID) {
 	state, _ := s.table.Withdraw(now, id)
 	if state == wire.NotRun {
-		s.drop(now, id)
+		s.dropUnstarted(now, id)
 	}
 }
 
-// Tick forgets what nobody will ask for any more.
+// Tick drops ended calls whose deadline has passed or whose entry is gone, and
+// expired records.
 func (s *Server) Tick(now time.Time) {
 	s.table.Tick(now)
 	for id, c := range s.calls {
-		if c.ended && (now.After(c.deadline) || !s.gate.Heard(now, c.holder)) {
+		if c.ended && (now.After(c.deadline) || !s.leases.Heard(now, c.holder)) {
 			delete(s.calls, id)
 		}
 	}
 }
 
-// Idle reports whether all answers have been delivered.
+// Idle reports whether no call waits, runs or has an undelivered result.
 func (s *Server) Idle() bool { return len(s.calls) == 0 }
 
-// Pending describes the calls that are not delivered yet, for the log.
+// Pending returns a summary of the tracked calls by state, for the log.
 func (s *Server) Pending() string {
 	counts := make(map[wire.State]int)
 	for id := range s.calls {
--- a/attempt/table.go
+++ b/attempt/table.go
@@ -1,7 +1,12 @@
-// Package attempt is the life of calls to a plain service as a state machine
-// without I/O: offered, started, done; or withdrawn, with a tombstone. The
-// agent beside the service owns the Table, so its word about an attempt is
-// final, as long as it is the word of the same incarnation.
+// Package attempt ensures that an attempt at a call to a plain service is
+// executed at most once, and that an attempt is reported as not run only if it
+// provably did not run. It consists of state machines without I/O: Client on the
+// side of the entry, Server and Table on the side of the agent.
+//
+// An attempt is offered, started and done, or withdrawn, which leaves a
+// tombstone. The agent at the service owns the Table, so the state that it
+// reports is authoritative for as long as the agent does not restart, that is,
+// within one incarnation.
 package attempt
 
 import (
@@ -38,22 +43,24 @@
 	starts   int
 }
 
-// Table holds the attempts of one agent. It is not safe for concurrent use.
+// Table holds the state of all attempts at one agent. It is not safe for
+// concurrent use.
 type Table struct {
 	began   time.Time
 	records map[wire.ID]*record
 	keys    *keyTable
 }
 
-// retention is how long an attempt is remembered after its deadline. An
-// entry asks about an attempt until the deadline; the rest covers clocks.
-const retention = time.Minute
+// recordRetention is how long an attempt is remembered after its deadline. An
+// entry asks about an attempt until the deadline; the rest covers clock skew.
+const recordRetention = time.Minute
 
-// maxLife bounds the time from an attempt's mint to its forgetting; Withdraw
-// of an older unknown ID can't be proved.
-const maxLife = 12 * time.Minute
+// maxRecordAge bounds the time from the creation of an attempt's ID to the
+// deletion of its record. Without a record, an attempt with an older ID can't be
+// proved not to have run.
+const maxRecordAge = 12 * time.Minute
 
-// NewTable returns the table of an agent that started at now.
+// NewTable returns an empty table for an agent that started at now.
 func NewTable(now time.Time, keys KeyLimits) *Table {
 	return &Table{
 		began:   now,
@@ -62,47 +69,49 @@
 	}
 }
 
-// Verdict is the answer to Offer.
-type Verdict struct {
-	// Admit: the offer stands; it may be started after admission.
-	Admit bool
-	// Replay is the answer of an earlier call with the same key.
+// Decision is the result of Table.Offer.
+type Decision struct {
+	// Admitted reports that the attempt is registered and may be started once it
+	// holds a lease.
+	Admitted bool
+	// Replay is the answer to an earlier call with the same key, or nil.
 	Replay *Answer
-	// Reason says why the offer is refused.
+	// Reason is why the offer was refused; empty if Admitted or with a Replay.
 	Reason wire.Reason
 }
 
-// Offer registers an attempt that has not started. Repeating it is harmless.
-func (t *Table) Offer(now time.Time, id wire.ID, deadline time.Time, key *Key) Verdict {
+// Offer registers an attempt that has not started. It is idempotent.
+func (t *Table) Offer(now time.Time, id wire.ID, deadline time.Time, key *Key) Decision {
 	if rec, ok := t.records[id]; ok {
 		if rec.phase == offered {
-			return Verdict{Admit: true}
+			return Decision{Admitted: true}
 		}
-		return Verdict{Reason: wire.Withdrawn}
+		return Decision{Reason: wire.Withdrawn}
 	}
 	if key != nil {
-		v := t.keys.offer(now, id, *key)
-		if !v.Admit {
-			return v
+		d := t.keys.offer(now, id, *key)
+		if !d.Admitted {
+			return d
 		}
 	}
 	t.records[id] = &record{phase: offered, deadline: deadline, key: key}
-	return Verdict{Admit: true}
+	return Decision{Admitted: true}
 }
 
-// Start decides whether an offered attempt runs now. It returns true exactly
-// once for an ID; otherwise the state tells what became of it.
+// Start reports whether an offered attempt is to be run now. It returns true at
+// most once for an ID; otherwise state is the attempt's current state.
 //
-// A Start that is repeated after a reconnect, or
-// arrives behind its withdrawal, runs a booking twice. The guard holds
-// because the phase only moves forward and one owner keeps it.
+// A Start may be repeated after a reconnect or arrive after its withdrawal. It
+// can't run the call a second time, because the phase only moves forward and is
+// kept in one place.
 func (t *Table) Start(now time.Time, id wire.ID) (run bool, state wire.State) {
 	rec, ok := t.records[id]
 	if !ok {
-		// Never offered to this incarnation, or long forgotten: refuse it
-		// for good, so that the refusal stays true.
-		t.records[id] = &record{phase: withdrawn, deadline: now.Add(retention)}
-		return false, t.unseen(now, id)
+		// Never offered to this incarnation, or its record has expired. The
+		// tombstone keeps the reported state true: the attempt can't be
+		// started later.
+		t.records[id] = &record{phase: withdrawn, deadline: now.Add(recordRetention)}
+		return false, t.stateWithoutRecord(now, id)
 	}
 	if rec.phase != offered {
 		return false, rec.state()
@@ -119,13 +128,13 @@
 	return true, wire.Running
 }
 
-// Withdraw gives the final word about an attempt. One that has not started
-// never will.
+// Withdraw returns the state of an attempt, which is final unless it is Running.
+// An attempt that has not started never will.
 func (t *Table) Withdraw(now time.Time, id wire.ID) (wire.State, *Answer) {
 	rec, ok := t.records[id]
 	if !ok {
-		state := t.unseen(now, id)
-		t.records[id] = &record{phase: withdrawn, deadline: now.Add(retention)}
+		state := t.stateWithoutRecord(now, id)
+		t.records[id] = &record{phase: withdrawn, deadline: now.Add(recordRetention)}
 		return state, nil
 	}
 	if rec.phase == offered {
@@ -135,17 +144,17 @@
 	return rec.state(), rec.answer
 }
 
-// unseen is the word about an ID without a record: not run, unless it is so
-// old that its record may have been forgotten.
-func (t *Table) unseen(now time.Time, id wire.ID) wire.State {
+// stateWithoutRecord returns the state of an ID that has no record: NotRun, or
+// Unknown if the ID is so old that its record may have been deleted.
+func (t *Table) stateWithoutRecord(now time.Time, id wire.ID) wire.State {
 	sec, nsec := uuid.UUID(id).Time().UnixTime()
-	if now.Sub(time.Unix(sec, nsec)) > maxLife {
+	if now.Sub(time.Unix(sec, nsec)) > maxRecordAge {
 		return wire.Unknown
 	}
 	return wire.NotRun
 }
 
-// Finish records the answer of a started attempt.
+// Finish records the answer to a started attempt.
 func (t *Table) Finish(id wire.ID, a Answer) {
 	rec, ok := t.records[id]
 	if !ok || rec.phase != started {
@@ -156,8 +165,8 @@
 	t.keys.finish(id, rec.key, &a)
 }
 
-// Fail ends a started attempt without an answer. With notRun the service
-// provably never saw it; else its outcome is unknown for good.
+// Fail ends a started attempt without an answer. If notRun is true, the service
+// provably never received the call; otherwise its state stays Unknown.
 func (t *Table) Fail(id wire.ID, notRun bool) {
 	rec, ok := t.records[id]
 	if !ok || rec.phase != started {
@@ -172,8 +181,8 @@
 	t.keys.fail(id, rec.key)
 }
 
-// State returns the word about an attempt without changing anything; ok is
-// false for one without a record.
+// State returns the state of an attempt without changing it; ok is false if the
+// attempt has no record.
 func (t *Table) State(id wire.ID) (state wire.State, answer *Answer, ok bool) {
 	rec, ok := t.records[id]
 	if !ok {
@@ -182,17 +191,18 @@
 	return rec.state(), rec.answer, true
 }
 
-// Forget drops the answer of an attempt that its entry has received.
-func (t *Table) Forget(id wire.ID) {
+// DropAnswer drops the answer to an attempt whose entry has received it.
+func (t *Table) DropAnswer(id wire.ID) {
 	if rec, ok := t.records[id]; ok && rec.phase == done {
 		rec.answer = nil
 	}
 }
 
-// Tick forgets attempts long past their deadline.
+// Tick deletes the records of attempts that are not running and whose deadline
+// passed more than recordRetention ago, and expired idempotency keys.
 func (t *Table) Tick(now time.Time) {
 	for id, rec := range t.records {
-		if rec.phase != started && now.After(rec.deadline.Add(retention)) {
+		if rec.phase != started && now.After(rec.deadline.Add(recordRetention)) {
 			if rec.phase == offered {
 				t.keys.release(id, rec.key)
 			}
@@ -202,11 +212,11 @@
 	t.keys.tick(now)
 }
 
-// MembersChanged tells that the declared owners of keys changed at now: keys
-// minted before may have run at another owner.
-func (t *Table) MembersChanged(now time.Time) { t.keys.since = now.Add(changeMargin) }
+// MembersChanged reports that the endpoints that own idempotency keys changed
+// at now. Keys created before may have run at another owner.
+func (t *Table) MembersChanged(now time.Time) { t.keys.completeSince = now.Add(ownerChangeMargin) }
 
-// Configure changes the bounds of the key memory.
+// Configure changes the bounds of the table of idempotency keys.
 func (t *Table) Configure(l KeyLimits) { t.keys.limits = l }
 
 // Records returns the number of attempts remembered.
--- a/attempt/table_test.go
+++ b/attempt/table_test.go
@@ -17,8 +17,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// mint makes a UUIDv7 of a moment.
-func mint(at time.Time, n uint64) wire.ID {
+// newID returns a UUIDv7 created at the given time; n makes it unique.
+func newID(at time.Time, n uint64) wire.ID {
 	var x wire.ID
 	var ms [8]byte
 	binary.BigEndian.PutUint64(ms[:], uint64(at.UnixMilli()))
@@ -31,21 +31,21 @@
 
 var limits = attempt.KeyLimits{Window: 10 * time.Minute, Count: 5}
 
-// history is what the world knows of the runs.
+// history records what ran and what was reported, independently of the Table.
 type history struct {
-	runs    map[wire.ID]int
-	denied  map[wire.ID]bool // told not-run
-	keyRuns map[string]int
-	keyOf   map[wire.ID]string
+	runs           map[wire.ID]int
+	reportedNotRun map[wire.ID]bool // reported as NotRun
+	keyRuns        map[string]int
+	keyOf          map[wire.ID]string
 }
 
-func (h *history) ran(t *rapid.T, id wire.ID) {
+func (h *history) recordRun(t *rapid.T, id wire.ID) {
 	h.runs[id]++
 	if h.runs[id] > 1 {
 		t.Fatalf("%s ran %d times", id, h.runs[id])
 	}
-	if h.denied[id] {
-		t.Fatalf("%s ran after it was told not to have run", id)
+	if h.reportedNotRun[id] {
+		t.Fatalf("%s ran after it was reported as not run", id)
 	}
 	if key := h.keyOf[id]; key != "" {
 		h.keyRuns[key]++
@@ -55,18 +55,18 @@
 	}
 }
 
-// TestTableAgainstHistory drives an agent's attempts through random orders of
-// messages, repeats, restarts of the agent, changes of the owners and callers
-// whose clocks are up to 1.9 s off. A call
-// runs at most once, a key's call at most once over all its attempts and
-// owners' restarts, and what was told "not run" never ran and never will.
+// TestTableAgainstHistory applies random sequences of messages, repeats, agent
+// restarts and key owner changes, with callers whose clocks are up to 1.9 s off.
+// An attempt must run at most once; a call with a key at most once over all its
+// attempts and the owner's restarts; and an attempt that was reported as not run
+// must neither have run nor run later.
 func TestTableAgainstHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		defer invariant.SetHandler(func(r invariant.Rule, d string) { t.Fatalf("%s: %s", r, d) })()
 		now := epoch
 		table := attempt.NewTable(now, limits)
-		h := &history{runs: map[wire.ID]int{}, denied: map[wire.ID]bool{}, keyRuns: map[string]int{}, keyOf: map[wire.ID]string{}}
-		var minted uint64
+		h := &history{runs: map[wire.ID]int{}, reportedNotRun: map[wire.ID]bool{}, keyRuns: map[string]int{}, keyOf: map[wire.ID]string{}}
+		var created uint64
 		var ids []wire.ID
 		var keys []string
 		running := map[wire.ID]bool{}
@@ -78,13 +78,13 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
-				minted++
-				x := mint(now, minted)
+				created++
+				x := newID(now, created)
 				var key *attempt.Key
 				switch rapid.IntRange(0, 3).Draw(t, "key") {
-				case 0: // a caller mints a new key
+				case 0: // a caller creates a new key
 					skew := time.Duration(rapid.IntRange(-1900, 1900).Draw(t, "skew")) * time.Millisecond
-					keys = append(keys, uuid.UUID(mint(now.Add(skew), uint64(1000+len(keys)))).String())
+					keys = append(keys, uuid.UUID(newID(now.Add(skew), uint64(1000+len(keys)))).String())
 					key = &attempt.Key{Workspace: "w", Value: keys[len(keys)-1]}
 				case 1: // a caller repeats an earlier one
 					if len(keys) > 0 {
@@ -95,7 +95,7 @@
 				if v.Replay != nil && h.keyRuns[key.Value] != 1 {
 					t.Fatalf("replay of a key that ran %d times", h.keyRuns[key.Value])
 				}
-				if v.Admit {
+				if v.Admitted {
 					ids = append(ids, x)
 					if key != nil {
 						h.keyOf[x] = key.Value
@@ -109,11 +109,11 @@
 				}
 				run, state := table.Start(now, x)
 				if run {
-					h.ran(t, x)
+					h.recordRun(t, x)
 					running[x] = true
 				}
 				if !run && state == wire.NotRun {
-					h.denied[x] = true
+					h.reportedNotRun[x] = true
 				}
 			},
 			"withdraw": func(t *rapid.T) {
@@ -121,13 +121,13 @@
 				if !ok {
 					return
 				}
-				// Only the incarnation that saw a start may deny it; the
-				// entry drops the word of another.
+				// Only the incarnation that accepted a start may report it as
+				// not run; the entry ignores the states that another reports.
 				state, _ := table.Withdraw(now, x)
 				if state == wire.NotRun {
-					h.denied[x] = true
+					h.reportedNotRun[x] = true
 					if running[x] {
-						t.Fatalf("%s runs and is told not to have run", x)
+						t.Fatalf("%s is running and was reported as not run", x)
 					}
 				}
 			},
@@ -163,10 +163,11 @@
 	})
 }
 
-// Each row is a moment at which something dies, and what the agent's word is
-// then worth; docs/DESIGN.md has the same table.
+// TestOutcomeTable checks the state that the agent reports after each possible
+// point of failure, and that the call does not run after it was withdrawn.
+// docs/DESIGN.md has the same table.
 func TestOutcomeTable(t *testing.T) {
-	id := mint(epoch, 1)
+	id := newID(epoch, 1)
 	deadline := epoch.Add(time.Minute)
 	rows := []struct {
 		name string
@@ -206,16 +207,17 @@
 			state, _ := table.Withdraw(epoch, id)
 			assert.Equal(t, row.want, state)
 			run, _ := table.Start(epoch, id)
-			assert.False(t, run, "ran after the word")
+			assert.False(t, run, "ran after it was withdrawn")
 		})
 	}
 }
 
-// Story: an entry slept for a quarter of an hour and now asks about a booking
-// it had started. The record is forgotten by then; its absence proves nothing.
-func TestForgottenIsNotNotRun(t *testing.T) {
+// An entry that was paused for 15 minutes asks for the state of a call that it
+// had started. The record has been deleted by then, and its absence does not
+// prove that the call did not run.
+func TestDeletedRecordIsUnknown(t *testing.T) {
 	table := attempt.NewTable(epoch.Add(-time.Hour), limits)
-	id := mint(epoch, 1)
+	id := newID(epoch, 1)
 	table.Offer(epoch, id, epoch.Add(time.Minute), nil)
 	table.Start(epoch, id)
 	table.Finish(id, attempt.Answer{Status: 200})
@@ -225,14 +227,14 @@
 	assert.Equal(t, wire.Unknown, state)
 }
 
-// Story: more keys than the memory holds. The new one is refused, because
-// forgetting an old one early could run it twice.
-func TestKeyMemoryIsBounded(t *testing.T) {
+// With the table full, a new key is refused: deleting an old key early would
+// allow its call to run twice.
+func TestKeyTableIsBounded(t *testing.T) {
 	table := attempt.NewTable(epoch.Add(-time.Hour), limits)
 	for n := range uint64(6) {
-		v := table.Offer(epoch, mint(epoch, n), epoch.Add(time.Minute), &attempt.Key{Value: uuid.UUID(mint(epoch, 100+n)).String()})
-		assert.Equal(t, n < 5, v.Admit)
-		if !v.Admit {
+		v := table.Offer(epoch, newID(epoch, n), epoch.Add(time.Minute), &attempt.Key{Value: uuid.UUID(newID(epoch, 100+n)).String()})
+		assert.Equal(t, n < 5, v.Admitted)
+		if !v.Admitted {
 			assert.Equal(t, wire.KeyMemory, v.Reason)
 		}
 	}
