--- a/lease/table.go
+++ b/lease/table.go
@@ -1,7 +1,8 @@
-// Package lease is the admission gate of one endpoint as a state machine
-// without I/O: who holds its requests and tokens, who waits, and when a hold
-// ends. The agent beside the endpoint is the only owner of a Table; entries
-// hold opinions, the Table holds facts.
+// Package lease implements admission control for one endpoint: which requests
+// hold a lease on its capacity, which wait in the queue, and when a lease ends.
+// It is a state machine without I/O. The agent at the endpoint is the only owner
+// of a Table, which is authoritative; what entries know of the endpoint may be
+// out of date.
 package lease
 
 import (
@@ -14,130 +15,137 @@
 	"ebonypulley/wire"
 )
 
-// Capacity is what an endpoint can hold.
+// Capacity is what an endpoint can hold at once.
 type Capacity struct {
-	// Requests is the number of requests held at once.
+	// Requests is the maximum number of leases.
 	Requests int
-	// Tokens is the number of tokens held at once; 0 means no limit.
+	// Tokens is the maximum number of tokens under lease; 0 means no limit.
 	Tokens int
-	// Headroom is the part of Requests that spare work leaves free.
+	// Headroom is the part of Requests that spare work must leave free.
 	Headroom int
-	// Queue is the number of requests that may wait.
+	// Queue is the maximum number of requests that wait.
 	Queue int
 }
 
-// Request asks for a lease.
+// Request is a request for a lease.
 type Request struct {
 	ID wire.ID
 	// Holder is the incarnation whose heartbeats renew the lease.
 	Holder   wire.Incarnation
 	Tokens   int
 	Priority int
-	// Spare work never takes headroom.
+	// Spare marks work that may not use the headroom.
 	Spare bool
-	// WaitUntil ends the wait in the queue.
+	// WaitUntil is when the request leaves the queue if it has not been granted.
 	WaitUntil time.Time
-	// Deadline ends the lease whatever its holder does.
+	// Deadline is when the lease expires, even if its holder renews it.
 	Deadline time.Time
 }
 
-// Decision is the answer to Reserve.
+// Decision is the result of Table.Reserve.
 type Decision struct {
 	// Granted and Queued exclude each other; neither means refused.
 	Granted bool
 	Queued  bool
-	// Reason says why a request was refused.
+	// Reason is why a request was refused.
 	Reason wire.Reason
-	// RetryAfter estimates when a refused request may find room.
+	// RetryAfter is the estimated time until a refused request may be granted.
 	RetryAfter time.Duration
 }
 
-// ChangeKind tells what happened to a request between two calls.
+// ChangeKind is the kind of a Change.
 type ChangeKind int
 
-// Kinds of changes.
 const (
-	// WasGranted: a waiting request now holds a lease.
+	// WasGranted means that a waiting request now holds a lease.
 	WasGranted ChangeKind = iota
-	// WaitEnded: a waiting request was dropped; nothing ran for it.
+	// WaitEnded means that a waiting request was removed from the queue; nothing
+	// ran for it.
 	WaitEnded
-	// Expired: a lease ended because its holder was not heard or its
-	// deadline passed. The caller must free the endpoint's memory and then
-	// call Release.
+	// Expired means that a lease expired, because its holder sent no heartbeat
+	// for the lease time or because its deadline passed. The caller must free
+	// the endpoint's memory and then call Release.
 	Expired
 )
 
-// Change is one effect of the passing of time or of a Release.
+// Change is a change of a request's state that was caused by the passing of
+// time, a Release or a Drain.
 type Change struct {
 	ID     wire.ID
 	Kind   ChangeKind
 	Reason wire.Reason
 }
 
-type hold struct {
+// activeLease is a granted request.
+type activeLease struct {
 	Request
-	since    time.Time
-	expiring bool // reported as Expired, not yet released
+	grantedAt time.Time
+	expiring  bool // reported as Expired, not yet released
 }
 
-type waiting struct {
+// waiter is a queued request.
+type waiter struct {
 	Request
 	seq uint64
 }
 
-// Table is the state of one endpoint. It is not safe for concurrent use.
+// Table holds the leases and the queue of one endpoint. It is not safe for
+// concurrent use.
 type Table struct {
-	capacity   Capacity
-	ttl        time.Duration
-	draining   bool
-	holds      map[wire.ID]*hold
-	tokens     int
-	queue      []*waiting
-	seq        uint64
-	heard      map[wire.Incarnation]time.Time
-	tombstones *tombstones
-	meanHold   time.Duration
+	capacity      Capacity
+	ttl           time.Duration
+	draining      bool
+	leases        map[wire.ID]*activeLease
+	tokens        int
+	queue         []*waiter
+	seq           uint64
+	lastHeartbeat map[wire.Incarnation]time.Time
+	tombstones    *tombstones
+	meanLeaseTime time.Duration
 }
 
-// tombstoneTime is how long a withdrawn ID stays refused. A delayed message
-// can only arrive on a connection that both sides gave up on, which takes a
-// few seconds; a minute is far above.
 const (
-	tombstoneTime = time.Minute
-	tombstoneMax  = 20_000
-	initialHold   = time.Second
-	// holdWeight is the weight of one finished hold in the moving mean.
-	holdWeight = 0.1
+	// tombstoneTTL is how long a withdrawn ID stays refused. A delayed message
+	// can only arrive on a connection that both sides have given up, which takes
+	// a few seconds; a minute is far above that.
+	tombstoneTTL = time.Minute
+	// maxTombstones bounds the number of tombstones; beyond it the oldest are
+	// dropped.
+	maxTombstones = 20_000
+	// initialLeaseTime is the assumed mean lease time before any lease has ended.
+	initialLeaseTime = time.Second
+	// leaseTimeWeight is the weight of one ended lease in the moving mean.
+	leaseTimeWeight = 0.1
 )
 
-// NewTable returns an empty table. A holder that is not heard for ttl loses
-// its leases.
+// NewTable returns an empty table. The leases of a holder that sends no
+// heartbeat for ttl expire.
 func NewTable(c Capacity, ttl time.Duration) *Table {
 	return &Table{
-		capacity:   c,
-		ttl:        ttl,
-		holds:      make(map[wire.ID]*hold),
-		heard:      make(map[wire.Incarnation]time.Time),
-		tombstones: newTombstones(tombstoneTime, tombstoneMax),
-		meanHold:   initialHold,
+		capacity:      c,
+		ttl:           ttl,
+		leases:        make(map[wire.ID]*activeLease),
+		lastHeartbeat: make(map[wire.Incarnation]time.Time),
+		tombstones:    newTombstones(tombstoneTTL, maxTombstones),
+		meanLeaseTime: initialLeaseTime,
 	}
 }
 
-// Configure changes capacity and lease time. Leases beyond a smaller capacity
-// stay; nothing new is granted until they ended.
+// Configure changes the capacity and the lease time. If the capacity shrinks,
+// existing leases stay, and nothing is granted until they fit.
 func (t *Table) Configure(c Capacity, ttl time.Duration) {
 	t.capacity = c
 	t.ttl = ttl
 }
 
-// Open takes new work again after Drain.
+// Open admits new work again after Drain.
 func (t *Table) Open() { t.draining = false }
 
 // Drain refuses all new work from now on and empties the queue.
 //
-// An entry with an old view keeps sending to an
-// endpoint that is leaving. The guard holds because the refusal is at the
-// owner, whatever the entries believe.
+// An entry with outdated state may keep sending work to an endpoint that is
+// leaving. The work is refused here, at the owner of the leases, so it does not
+// matter what entries know.
 func (t *Table) Drain() []Change {
 	t.draining = true
 	changes := make([]Change, 0, len(t.queue))
@@ -148,17 +156,18 @@
 	return changes
 }
 
-// Reserve asks for a lease now or, until WaitUntil, in the queue. Repeating
-// it for an ID that holds or waits changes nothing and gives the same answer.
+// Reserve grants a lease, queues the request until WaitUntil, or refuses it.
+// Repeating it for an ID that holds a lease or waits has no effect and gives the
+// same result.
 func (t *Table) Reserve(now time.Time, r Request) Decision {
 	t.Renew(now, r.Holder)
-	if _, ok := t.holds[r.ID]; ok {
+	if _, ok := t.leases[r.ID]; ok {
 		return Decision{Granted: true}
 	}
-	if t.waits(r.ID) {
+	if t.isQueued(r.ID) {
 		return Decision{Queued: true}
 	}
-	if reason := t.refusal(now, r); reason != "" {
+	if reason := t.refusalReason(now, r); reason != "" {
 		return Decision{Reason: reason, RetryAfter: t.retryAfter()}
 	}
 	if !t.blockedByQueue(r) && t.fits(r) {
@@ -172,7 +181,9 @@
 	return Decision{Queued: true}
 }
 
-func (t *Table) refusal(now time.Time, r Request) wire.Reason {
+// refusalReason returns why a request is refused regardless of free capacity, or
+// "".
+func (t *Table) refusalReason(now time.Time, r Request) wire.Reason {
 	switch {
 	case t.tombstones.has(now, r.ID):
 		return wire.Withdrawn
@@ -187,7 +198,7 @@
 	}
 }
 
-func (t *Table) waits(id wire.ID) bool {
+func (t *Table) isQueued(id wire.ID) bool {
 	for _, w := range t.queue {
 		if w.ID == id {
 			return true
@@ -196,8 +207,8 @@
 	return false
 }
 
-// blockedByQueue reports whether waiting work of the same or a higher
-// priority must go first.
+// blockedByQueue reports whether a request of the same or a higher priority is
+// waiting, which must be granted first.
 func (t *Table) blockedByQueue(r Request) bool {
 	return len(t.queue) > 0 && t.queue[0].Priority >= r.Priority
 }
@@ -207,7 +218,7 @@
 	if r.Spare {
 		limit -= t.capacity.Headroom
 	}
-	if len(t.holds)+1 > limit {
+	if len(t.leases)+1 > limit {
 		return false
 	}
 	return t.capacity.Tokens == 0 || t.tokens+r.Tokens <= t.capacity.Tokens
@@ -215,60 +226,59 @@
 
 func (t *Table) grant(now time.Time, r Request) {
 	invariant.Check(!t.draining, invariant.NoGrantAfterDrain, "grant of %s", r.ID)
-	t.holds[r.ID] = &hold{Request: r, since: now}
+	t.leases[r.ID] = &activeLease{Request: r, grantedAt: now}
 	t.tokens += r.Tokens
-	invariant.Check(len(t.holds) <= t.capacity.Requests, invariant.GrantWithinMemory,
-		"%d requests of %d", len(t.holds), t.capacity.Requests)
+	invariant.Check(len(t.leases) <= t.capacity.Requests, invariant.GrantWithinMemory,
+		"%d requests of %d", len(t.leases), t.capacity.Requests)
 	invariant.Check(t.capacity.Tokens == 0 || t.tokens <= t.capacity.Tokens, invariant.GrantWithinMemory,
 		"%d tokens of %d", t.tokens, t.capacity.Tokens)
-	invariant.Check(!r.Spare || len(t.holds) <= t.capacity.Requests-t.capacity.Headroom, invariant.PaidHeadroom,
-		"spare %s takes hold %d", r.ID, len(t.holds))
+	invariant.Check(!r.Spare || len(t.leases) <= t.capacity.Requests-t.capacity.Headroom, invariant.PaidHeadroom,
+		"spare %s is lease %d", r.ID, len(t.leases))
 }
 
-// enqueue keeps the queue ordered by priority, then by arrival.
+// enqueue keeps the queue ordered by descending priority, then by arrival.
 func (t *Table) enqueue(r Request) {
 	t.seq++
-	w := &waiting{Request: r, seq: t.seq}
+	w := &waiter{Request: r, seq: t.seq}
 	at := sort.Search(len(t.queue), func(i int) bool { return t.queue[i].Priority < r.Priority })
 	t.queue = append(t.queue, nil)
 	copy(t.queue[at+1:], t.queue[at:])
 	t.queue[at] = w
 }
 
-// Renew records that a holder lives; it renews all its leases.
+// Renew records a heartbeat of a holder, which renews all its leases.
 func (t *Table) Renew(now time.Time, holder wire.Incarnation) {
-	if last, ok := t.heard[holder]; !ok || now.After(last) {
-		t.heard[holder] = now
+	if last, ok := t.lastHeartbeat[holder]; !ok || now.After(last) {
+		t.lastHeartbeat[holder] = now
 	}
 }
 
-// Grace gives every holder at least d from now to be heard again. It is for
-// the time after a pause of this process, when heartbeats that did arrive
+// Grace lets no holder's leases expire for lack of heartbeats before now+d. It
+// is called after a pause of this process, when heartbeats that arrived meanwhile
 // have not been read yet.
 func (t *Table) Grace(now time.Time, d time.Duration) {
 	earliest := now.Add(d - t.ttl)
-	for holder, at := range t.heard {
+	for holder, at := range t.lastHeartbeat {
 		if at.Before(earliest) {
-			t.heard[holder] = earliest
+			t.lastHeartbeat[holder] = earliest
 		}
 	}
 }
 
-// Heard reports whether a holder's lease time has not run out.
+// Heard reports whether a holder's last heartbeat is at most the lease time ago.
 func (t *Table) Heard(now time.Time, holder wire.Incarnation) bool {
-	at, ok := t.heard[holder]
+	at, ok := t.lastHeartbeat[holder]
 	return ok && now.Sub(at) <= t.ttl
 }
 
 // Holds reports whether the ID holds a lease that is not expiring.
 func (t *Table) Holds(id wire.ID) bool {
-	h, ok := t.holds[id]
+	h, ok := t.leases[id]
 	return ok && !h.expiring
 }
 
-// Withdraw takes the ID out of the queue and refuses it from now on. A lease
-// that it holds stays until Release, because the endpoint's memory is still
-// in use.
+// Withdraw removes the ID from the queue and refuses it from now on. A lease that
+// it holds stays until Release, because the endpoint's memory is still in use.
 func (t *Table) Withdraw(now time.Time, id wire.ID) {
 	t.tombstones.add(now, id)
 	for i, w := range t.queue {
@@ -279,50 +289,52 @@
 	}
 }
 
-// Release ends a lease after the endpoint freed its memory. The ID can't be
-// used again.
+// Release ends a lease after the endpoint has freed its memory. The ID stays
+// refused afterwards.
 func (t *Table) Release(now time.Time, id wire.ID) {
 	t.tombstones.add(now, id)
-	h, ok := t.holds[id]
+	h, ok := t.leases[id]
 	if !ok {
 		return
 	}
-	delete(t.holds, id)
+	delete(t.leases, id)
 	t.tokens -= h.Tokens
-	held := now.Sub(h.since)
-	t.meanHold += time.Duration(holdWeight * float64(held-t.meanHold))
+	held := now.Sub(h.grantedAt)
+	t.meanLeaseTime += time.Duration(leaseTimeWeight * float64(held-t.meanLeaseTime))
 }
 
-// Tick applies the passing of time and hands out what is free.
+// Tick expires leases and waiting requests, and grants free capacity to the
+// queue.
 func (t *Table) Tick(now time.Time) []Change {
 	var changes []Change
-	changes = t.expireHolds(now, changes)
+	changes = t.expireLeases(now, changes)
 	changes = t.expireQueue(now, changes)
-	changes = t.grantWaiting(now, changes)
+	changes = t.grantQueued(now, changes)
 	t.forgetHolders(now)
 	return changes
 }
 
-// expireHolds reports leases whose holder is gone.
+// expireLeases appends an Expired change for each lease whose holder is gone or
+// whose deadline has passed.
 //
-// An entry dies, is cut off or sleeps while the
-// engine works for its callers. It shows as engine memory held for nobody.
-// The guard holds because only the holder's own heartbeats move the expiry.
-func (t *Table) expireHolds(now time.Time, changes []Change) []Change {
-	for id, h := range t.holds {
+// An entry may crash, lose its network or be paused while the engine works for
+// its callers; the engine's memory would then stay in use for no one. Only the
+// holder's own heartbeats extend its leases.
+func (t *Table) expireLeases(now time.Time, changes []Change) []Change {
+	for id, h := range t.leases {
 		if h.expiring || t.alive(now, h.Request) {
 			continue
 		}
 		h.expiring = true
 		changes = append(changes, Change{ID: id, Kind: Expired, Reason: wire.LeaseLost})
 	}
-	// In the order of their IDs, so that equal histories have equal effects.
+	// Sorted by ID, so that equal histories give equal results.
 	slices.SortFunc(changes, func(a, b Change) int { return bytes.Compare(a.ID[:], b.ID[:]) })
 	return changes
 }
 
 func (t *Table) alive(now time.Time, r Request) bool {
-	return now.Sub(t.heard[r.Holder]) <= t.ttl && now.Before(r.Deadline)
+	return now.Sub(t.lastHeartbeat[r.Holder]) <= t.ttl && now.Before(r.Deadline)
 }
 
 func (t *Table) expireQueue(now time.Time, changes []Change) []Change {
@@ -338,10 +350,10 @@
 	return changes
 }
 
-// grantWaiting grants in order. A request that does not fit holds back those
-// behind it, or large ones would starve; spare work that only the headroom
-// holds back does not.
-func (t *Table) grantWaiting(now time.Time, changes []Change) []Change {
+// grantQueued grants leases in queue order. A request that does not fit blocks
+// those behind it, because large requests would starve otherwise; a spare request
+// never blocks, since it may be held back by the headroom alone.
+func (t *Table) grantQueued(now time.Time, changes []Change) []Change {
 	if t.draining {
 		return changes
 	}
@@ -363,35 +375,36 @@
 }
 
 func (t *Table) forgetHolders(now time.Time) {
-	for holder, at := range t.heard {
+	for holder, at := range t.lastHeartbeat {
 		if now.Sub(at) > t.ttl {
-			delete(t.heard, holder)
+			delete(t.lastHeartbeat, holder)
 		}
 	}
 }
 
-// retryAfter estimates from the mean hold time when a newcomer finds room.
+// retryAfter estimates, from the mean lease time, how long a new request would
+// have to wait for a lease.
 func (t *Table) retryAfter() time.Duration {
 	if t.capacity.Requests == 0 {
-		return t.meanHold
+		return t.meanLeaseTime
 	}
-	return t.meanHold * time.Duration(len(t.queue)+1) / time.Duration(t.capacity.Requests)
+	return t.meanLeaseTime * time.Duration(len(t.queue)+1) / time.Duration(t.capacity.Requests)
 }
 
-// Active returns the number of leases, Waiting that of queued requests.
-func (t *Table) Active() int { return len(t.holds) }
+// Active returns the number of leases.
+func (t *Table) Active() int { return len(t.leases) }
 
 // Waiting returns the number of queued requests.
 func (t *Table) Waiting() int { return len(t.queue) }
 
-// Tokens returns the tokens under lease.
+// Tokens returns the number of tokens under lease.
 func (t *Table) Tokens() int { return t.tokens }
 
-// Idle reports whether nothing is held and nothing waits.
-func (t *Table) Idle() bool { return len(t.holds) == 0 && len(t.queue) == 0 }
+// Idle reports whether there is neither a lease nor a waiting request.
+func (t *Table) Idle() bool { return len(t.leases) == 0 && len(t.queue) == 0 }
 
-// Draining reports whether Drain was called.
+// Draining reports whether Drain was called and Open was not called since.
 func (t *Table) Draining() bool { return t.draining }
 
-// Requests returns the number of requests that the endpoint can hold.
+// Requests returns the maximum number of leases.
 func (t *Table) Requests() int { return t.capacity.Requests }
--- a/lease/table_test.go
+++ b/lease/table_test.go
@@ -25,7 +25,7 @@
 
 const ttl = 3 * time.Second
 
-// oracle is the simplest account of a Table: who was told what.
+// oracle is a simple model of a Table, built from its results.
 type oracle struct {
 	held      map[wire.ID]lease.Request
 	queued    map[wire.ID]lease.Request
@@ -46,7 +46,7 @@
 			o.held[c.ID] = r
 		case lease.WaitEnded:
 			if _, ok := o.queued[c.ID]; !ok {
-				t.Fatalf("%s dropped without waiting", c.ID)
+				t.Fatalf("%s dropped although it was not queued", c.ID)
 			}
 			delete(o.queued, c.ID)
 		case lease.Expired:
@@ -64,9 +64,10 @@
 	return now.Sub(o.heard[r.Holder]) <= ttl && now.Before(r.Deadline)
 }
 
-// TestTableAgainstOracle drives a Table through random histories. Whatever
-// happens: never beyond capacity, nothing for the dead, nothing after drain,
-// nothing for the withdrawn, nobody forgotten.
+// TestTableAgainstOracle applies random sequences of operations to a Table. The
+// capacity is never exceeded; nothing is granted after Drain or to a withdrawn
+// ID; leases and queued requests of a dead holder expire; and no request is
+// lost.
 func TestTableAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		defer invariant.SetHandler(func(r invariant.Rule, d string) { t.Fatalf("%s: %s", r, d) })()
@@ -138,12 +139,12 @@
 				o.apply(t, table, now, table.Tick(now))
 				for x, r := range o.held {
 					if !o.alive(now, r) {
-						t.Fatalf("%s is held for a dead holder", x)
+						t.Fatalf("%s holds a lease although its holder is dead or its deadline passed", x)
 					}
 				}
 				for x, r := range o.queued {
 					if !o.alive(now, r) || !now.Before(r.WaitUntil) {
-						t.Fatalf("%s still waits", x)
+						t.Fatalf("%s is still queued", x)
 					}
 				}
 			},
@@ -167,9 +168,9 @@
 	return lease.Request{ID: id(n), Holder: id(100), Tokens: 1, Priority: priority, Spare: spare, WaitUntil: epoch.Add(time.Hour), Deadline: epoch.Add(time.Hour)}
 }
 
-// Story: a trial burst fills an engine. A paying caller finds the headroom
-// free at once, and when a place becomes free, the next paying caller goes
-// before the trial ones who waited longer.
+// A burst of trial (spare) work fills an engine. The first paid request gets the
+// headroom at once; the next one gets the first lease that becomes free, before
+// trial requests that have waited longer.
 func TestPaidBeforeTrial(t *testing.T) {
 	table := lease.NewTable(lease.Capacity{Requests: 3, Headroom: 1, Queue: 10}, ttl)
 	for n := uint64(1); n <= 4; n++ {
@@ -182,7 +183,8 @@
 	assert.Equal(t, []lease.Change{{ID: id(11), Kind: lease.WasGranted}}, table.Tick(epoch))
 }
 
-// Story: two tiers wait for a full engine; the later and higher one goes first.
+// Requests of two priorities wait for a full engine. The one with the higher
+// priority is granted first, although it arrived later.
 func TestHigherPriorityFirst(t *testing.T) {
 	table := lease.NewTable(lease.Capacity{Requests: 1, Queue: 10}, ttl)
 	table.Reserve(epoch, request(1, 1, false))
@@ -192,9 +194,9 @@
 	assert.Equal(t, []lease.Change{{ID: id(3), Kind: lease.WasGranted}}, table.Tick(epoch))
 }
 
-// Story: an agent wakes from a long pause. The heartbeats that came meanwhile
-// are still in its socket buffers; a holder that lives must not lose its
-// draft for that, and one that is gone must lose it a second later.
+// After a long pause of the agent, heartbeats that arrived meanwhile are still in
+// its socket buffers. The lease of a live holder must not expire because of that;
+// the lease of a dead holder must expire a second later.
 func TestGraceAfterPause(t *testing.T) {
 	table := lease.NewTable(lease.Capacity{Requests: 3, Queue: 10}, ttl)
 	table.Reserve(epoch, request(1, 1, false))
@@ -204,8 +206,8 @@
 	assert.Equal(t, []lease.Change{{ID: id(1), Kind: lease.Expired, Reason: wire.LeaseLost}}, table.Tick(woken.Add(1100*time.Millisecond)))
 }
 
-// Story: a delayed Reserve arrives after its Cancel, on an old connection.
-// It must not take memory that nobody will free.
+// A delayed Reserve arrives after its Cancel, on an old connection. It must not
+// take memory that no one would free.
 func TestWithdrawnStaysRefused(t *testing.T) {
 	table := lease.NewTable(lease.Capacity{Requests: 3, Queue: 10}, ttl)
 	table.Withdraw(epoch, id(1))
