--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -12,8 +12,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Story: everything behind the entry is gone and every request would like to
-// be retried. Over a long outage the retries are a tenth of the requests.
+// During an outage of all endpoints every request asks for a retry. With a ratio
+// of 0.1, a tenth of the requests is retried.
 func TestRetryBudgetInOutage(t *testing.T) {
 	b := limit.NewSharedBudget(0.1, time.Minute)
 	b.SetSlack(1)
@@ -29,7 +29,7 @@
 	assert.InDelta(t, 0.1*requests, retries, 3)
 }
 
-func TestLinkPlansOneAfterTheOther(t *testing.T) {
+func TestLinkSerializesTransfers(t *testing.T) {
 	l := limit.NewLink(1000)
 	soon := epoch.Add(800 * time.Millisecond)
 	first, ok := l.Reserve(epoch, 500, soon)
@@ -39,7 +39,7 @@
 	assert.True(t, ok)
 	assert.Equal(t, 500*time.Millisecond, second.Wait)
 	_, ok = l.Reserve(epoch, 500, soon)
-	assert.False(t, ok, "it would start after the result expired")
+	assert.False(t, ok, "the transfer would start after its expiry")
 	_, ok = l.Reserve(epoch.Add(time.Second), 500, epoch.Add(2*time.Second))
 	assert.True(t, ok)
 }
--- a/limit/link.go
+++ b/limit/link.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Link is the receiver's budget of one link: transfers are started one after
-// the other at the link's rate, in order of arrival.
+// Link schedules the transfers over one network link on the side of the receiver:
+// one after the other at the link's rate, in order of arrival.
 type Link struct {
 	bytesPerSecond float64
 	busyUntil      time.Time
@@ -12,14 +12,16 @@
 // NewLink returns an idle link.
 func NewLink(bytesPerSecond float64) *Link { return &Link{bytesPerSecond: bytesPerSecond} }
 
-// Plan is when a transfer may start and how long it should take.
+// Plan is the schedule of one transfer.
 type Plan struct {
+	// Wait is the time until the transfer may start.
 	Wait time.Duration
+	// Take is the expected duration of the transfer.
 	Take time.Duration
 }
 
-// Reserve plans a transfer that must start before expiry. It returns false,
-// and plans nothing, when the link is busy for longer.
+// Reserve schedules a transfer that must start before expiry. It returns false
+// and schedules nothing if the link is busy until then.
 func (l *Link) Reserve(now time.Time, bytes int64, expiry time.Time) (Plan, bool) {
 	start := now
 	if l.busyUntil.After(start) {
--- a/limit/window.go
+++ b/limit/window.go
@@ -1,5 +1,6 @@
-// Package limit bounds what one process repeats and sends: its part of a retry
-// budget and the use of links. All are state machines without I/O.
+// Package limit bounds the retries and the transfers of one process: its share
+// of a retry budget, and the schedule of transfers over a network link. All types
+// are state machines without I/O.
 package limit
 
 import (
@@ -9,32 +10,33 @@
 	"ebonypulley/invariant"
 )
 
-// windowSlots is the number of parts of a window; counts age out part by part. A
-// part is what the budget may miss of the first attempts: a quarter of a percent.
+// windowSlots is the number of slots of a window. Counts expire slot by slot, so
+// the budget may miss one slot of the first attempts: a quarter of a percent.
 const windowSlots = 400
 
-// Window counts events of the last span of time.
+// Window counts the events of a sliding time window.
 type Window struct {
 	span   time.Duration
 	counts [windowSlots + 1]int
-	at     int64 // number of the newest part
+	newest int64 // number of the newest slot since the Unix epoch
 	total  int
 }
 
 // NewWindow returns an empty window of the given span.
 func NewWindow(span time.Duration) *Window { return &Window{span: span} }
 
+// advance expires the slots that have left the window.
 func (w *Window) advance(now time.Time) {
-	part := now.UnixNano() / int64(w.span/windowSlots)
-	if part-w.at > int64(len(w.counts)) {
+	slot := now.UnixNano() / int64(w.span/windowSlots)
+	if slot-w.newest > int64(len(w.counts)) {
 		w.counts = [windowSlots + 1]int{}
 		w.total = 0
-		w.at = part
+		w.newest = slot
 		return
 	}
-	for w.at < part {
-		w.at++
-		i := w.at % int64(len(w.counts))
+	for w.newest < slot {
+		w.newest++
+		i := w.newest % int64(len(w.counts))
 		w.total -= w.counts[i]
 		w.counts[i] = 0
 	}
@@ -43,45 +45,46 @@
 // Add counts n events at now.
 func (w *Window) Add(now time.Time, n int) {
 	w.advance(now)
-	w.counts[w.at%int64(len(w.counts))] += n
+	w.counts[w.newest%int64(len(w.counts))] += n
 	w.total += n
 }
 
-// Total returns the events of the last span, and of up to a part of it before.
-func (w *Window) Total(now time.Time) int {
+// MaxTotal returns an upper bound of the number of events in the window: up to one
+// slot before the window is counted as well.
+func (w *Window) MaxTotal(now time.Time) int {
 	w.advance(now)
 	return w.total
 }
 
-// Within returns the events of the last span without those of its oldest part.
-func (w *Window) Within(now time.Time) int {
+// MinTotal returns a lower bound of the number of events in the window: its oldest
+// slot is left out.
+func (w *Window) MinTotal(now time.Time) int {
 	w.advance(now)
-	oldest := (w.at + 1) % int64(len(w.counts))
+	oldest := (w.newest + 1) % int64(len(w.counts))
 	return w.total - w.counts[oldest]
 }
 
-// SharedBudget is one process's part of a retry budget that all processes
-// keep together: in each span, at most a ratio of the first attempts plus a
-// fixed slack.
+// SharedBudget is one process's share of a retry budget that all processes keep
+// together: within each span, the number of retries is at most a ratio of the
+// number of first attempts, plus a fixed slack.
 //
-// During an outage each request is repeated by every
-// entry, which multiplies the load. The guard holds because each entry counts
-// only its own first attempts and an equal part of the slack, so that the sum
-// over all entries stays within the whole.
+// It keeps retries from multiplying the load during an outage. Each entry counts
+// only its own first attempts and an equal share of the slack, so the sum over
+// all entries stays within the whole budget.
 type SharedBudget struct {
-	mu      sync.Mutex
-	ratio   float64
-	slack   float64
-	firsts  *Window
-	retries *Window
+	mu            sync.Mutex
+	ratio         float64
+	slack         float64
+	firstAttempts *Window
+	retries       *Window
 }
 
-// NewSharedBudget returns a budget without a part of the slack.
+// NewSharedBudget returns a budget with no slack.
 func NewSharedBudget(ratio float64, span time.Duration) *SharedBudget {
-	return &SharedBudget{ratio: ratio, firsts: NewWindow(span), retries: NewWindow(span)}
+	return &SharedBudget{ratio: ratio, firstAttempts: NewWindow(span), retries: NewWindow(span)}
 }
 
-// SetSlack sets this process's part of the slack.
+// SetSlack sets this process's share of the slack, in retries.
 func (b *SharedBudget) SetSlack(slack float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -92,25 +95,25 @@
 func (b *SharedBudget) First(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.firsts.Add(now, 1)
+	b.firstAttempts.Add(now, 1)
 }
 
-// Retry asks for one more attempt and records it if it is granted.
+// Retry reports whether the budget allows one more attempt, and records it if so.
 func (b *SharedBudget) Retry(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	// First attempts that count are surely within the window, retries that
-	// count surely cover it.
-	allowed := b.ratio*float64(b.firsts.Within(now)) + b.slack
-	if float64(b.retries.Total(now)+1) > allowed {
+	// Both bounds are on the safe side: no first attempt outside the window is
+	// counted, and no retry within it is missed.
+	allowed := b.ratio*float64(b.firstAttempts.MinTotal(now)) + b.slack
+	if float64(b.retries.MaxTotal(now)+1) > allowed {
 		return false
 	}
 	b.retries.Add(now, 1)
-	invariant.Check(float64(b.retries.Total(now)) <= allowed, invariant.RetryBudget, "%d retries, %v allowed", b.retries.Total(now), allowed)
+	invariant.Check(float64(b.retries.MaxTotal(now)) <= allowed, invariant.RetryBudget, "%d retries, %v allowed", b.retries.MaxTotal(now), allowed)
 	return true
 }
 
-// Give returns a grant that was not used.
+// Give returns a retry that was granted but not used.
 func (b *SharedBudget) Give(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/limit/window_test.go
+++ b/limit/window_test.go
@@ -10,9 +10,9 @@
 	"ebonypulley/limit"
 )
 
-// TestSharedBudget: in any span of the window the retries stay within the
-// ratio of the first attempts of that span and the one before, plus the slack.
-func TestSharedBudget(t *testing.T) {
+// In any window the number of retries is at most the ratio of the first attempts
+// of that window and the one before it, plus the slack.
+func TestRetryBudgetInRandomWindows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ratio, slack, span = 0.2, 5.0, 10 * time.Second
 		b := limit.NewSharedBudget(ratio, span)
@@ -48,7 +48,7 @@
 	return n
 }
 
-func TestSharedBudgetComesBack(t *testing.T) {
+func TestRetryBudgetRecovers(t *testing.T) {
 	b := limit.NewSharedBudget(0, 10*time.Second)
 	b.SetSlack(1)
 	now := time.Unix(1000, 0)
