--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -1,11 +1,11 @@
-// Package poison tells requests that crash each endpoint that runs them from those that
-// only ran where one crashed. It does no I/O.
+// Package poison detects poison requests: those that crash each endpoint that runs
+// them, as opposed to those that happened to run where an endpoint crashed for another
+// reason. It does no I/O.
 //
-// A request crashes the endpoint that starts it, and its caller
-// sends it again, to any entry. Each attempt costs one endpoint or two, with all that
-// others have running there, until the service is down. What a single entry sees of it
-// looks like endpoints that crash for reasons of their own; only the digest of what was
-// asked for, told among all entries, ties the crashes together.
+// The caller of a poison request sends it again, to any entry, and each attempt costs one
+// or two endpoints with all other work that runs there, until the service is down. To a
+// single entry this looks like unrelated crashes. Only a hash of the request's content,
+// shared among all entries, relates the crashes to each other.
 package poison
 
 import (
@@ -16,162 +16,163 @@
 )
 
 const (
-	// chanceMost is the greatest chance that all crashes under a request were
-	// coincidence with which it is still turned away.
-	chanceMost = 1e-5
-	// chanceFloor is the least chance of coincidence that one crash leaves, however
-	// soon after the request's start: other causes end endpoints in clusters. So three
-	// crashes may suffice, two never do.
-	chanceFloor = 0.02
-	// ranFloor is the least chance that a crash leaves under a request that had run there
-	// for a while: what crashes endpoints at its start does not come so far.
-	ranFloor = 0.3
-	// crashesMany suffice with chanceMany if none of the attempts had run for a while: a
-	// request may wait at a busy endpoint before it starts, and must not go on for that.
-	crashesMany = 5
-	chanceMany  = 1e-3
-	// crashesMost suffice whatever else crashes: a request that is innocent has no
-	// attempts left by then.
-	crashesMost = 8
-	// rateWindow is the time over which crashes are counted to reckon how often
-	// endpoints crash.
+	// maxCoincidence is the probability that all crashes of a request's endpoints were
+	// coincidence, at or below which the request is blocked.
+	maxCoincidence = 1e-5
+	// minCoincidence is the lower bound of the probability of coincidence for one crash,
+	// however soon after the request's start it came: crashes with other causes come in
+	// clusters. With this bound three crashes may suffice to block, two never do.
+	minCoincidence = 0.02
+	// minCoincidenceRan is the lower bound for a crash of an endpoint where the request had
+	// run for a while: a request that crashes endpoints at its start does not get so far.
+	minCoincidenceRan = 0.3
+	// manyCrashes is the number of crashes from which on maxCoincidenceMany applies instead
+	// of maxCoincidence, if the request had not run for a while before any of them. A poison
+	// request may wait at a busy endpoint before it starts, which makes each crash look more
+	// like coincidence; it must be blocked nevertheless.
+	manyCrashes        = 5
+	maxCoincidenceMany = 1e-3
+	// maxCrashes is the number of crashes that suffice whatever else crashes: an innocent
+	// request has no attempts left by then.
+	maxCrashes = 8
+	// rateWindow is the time window over which the crash rate of endpoints is measured.
 	rateWindow = 10 * time.Second
-	// memory is how long evidence counts: whoever sends such a request may do so for
-	// hours, and by then the service may be mended.
-	memory = time.Hour
-	// contentsMost and endpointsMost bound what is remembered, 100 bytes each or so.
-	contentsMost  = 2048
-	endpointsMost = 1024
+	// evidenceTTL is how long crashes and complete answers count. A caller may send a poison
+	// request for hours, and the service may have been fixed by then.
+	evidenceTTL = time.Hour
+	// maxContents and maxEndpoints bound the memory, at some 100 bytes an entry.
+	maxContents  = 2048
+	maxEndpoints = 1024
 )
 
-// Ledger is what an entry knows of crashes and of the requests that ran there. It is
-// safe for concurrent use.
+// Ledger holds what an entry knows of crashes and of the requests that ran at the crashed
+// endpoints. Requests are identified by a hash of their content. A Ledger is safe for
+// concurrent use.
 type Ledger struct {
-	// Found, if set, is told each content that is turned away from now on, and the
-	// number of its crashes.
+	// Found, if set, is called for each content that becomes blocked, with the number of its
+	// crashes.
 	Found func(content uint64, crashes int)
 
-	mu       sync.Mutex
-	contents map[uint64]*record
-	served   servedLately
-	// ended are the endpoints that crashed within rateWindow.
-	ended map[string]time.Time
-	// endpoints are the IDs of those published.
+	mu        sync.Mutex
+	contents  map[uint64]*record
+	successes recentSuccesses
+	// recentCrashes holds the endpoints that crashed within rateWindow, with the times.
+	recentCrashes map[string]time.Time
+	// endpoints holds the IDs of the published endpoints.
 	endpoints []string
-	// seq numbers what is to be told others.
+	// seq is the sequence number of the newest update for other entries.
 	seq uint64
 }
 
 // record is what is known of one content.
 type record struct {
 	crashes []crash
-	// served is when it was last answered whole, told what of that others were told,
-	// and seq the number of that news.
-	served, told time.Time
-	seq          uint64
-	// poison: it is turned away.
-	poison bool
-	// at is when the newest of it happened.
-	at time.Time
+	// lastSuccess is the time of the last complete answer. sequencedSuccess is the one that
+	// other entries are notified of, and successSeq the sequence number of that update.
+	lastSuccess, sequencedSuccess time.Time
+	successSeq                    uint64
+	// blocked reports that requests with this content are refused.
+	blocked bool
+	// newest is the time of the newest crash or complete answer.
+	newest time.Time
 }
 
-// Attempt is what a request had come to where an endpoint crashed.
+// Attempt describes an attempt at a request that was under way when its endpoint crashed.
 type Attempt struct {
-	// Endpoint is the one that crashed.
+	// Endpoint is the ID of the crashed endpoint.
 	Endpoint string
-	// Lasted is how long the request had been there.
+	// Lasted is the time from the start of the attempt to the crash.
 	Lasted time.Duration
-	// Ran: it had brought events for a while.
+	// Ran reports that the attempt had produced events for a while.
 	Ran bool
-	// Rate is how often an endpoint crashed then, in crashes a second, as reckoned by the
-	// entry that saw this one; zero if that is not known.
+	// Rate is the crash rate of an endpoint at that time, in crashes per second, as measured
+	// by the entry that saw the crash; zero if unknown.
 	Rate float64
 }
 
-// crash is the end of an endpoint under a content.
+// crash is the crash of an endpoint during an attempt at a content.
 type crash struct {
 	Attempt
 	at time.Time
-	// seq is zero if it is not to be told others.
+	// seq is the sequence number of the update for other entries; zero if there is none.
 	seq uint64
 }
 
 // NewLedger returns an empty Ledger.
 func NewLedger() *Ledger {
-	return &Ledger{contents: make(map[uint64]*record), ended: make(map[string]time.Time)}
+	return &Ledger{contents: make(map[uint64]*record), recentCrashes: make(map[string]time.Time)}
 }
 
-// SetEndpoints tells the IDs of the endpoints that are published.
+// SetEndpoints sets the IDs of the published endpoints.
 func (l *Ledger) SetEndpoints(ids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.endpoints = ids
 }
 
-// Turned reports whether a content is turned away.
+// Turned reports whether requests with a content are blocked.
 func (l *Ledger) Turned(now time.Time, content uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.contents[content]
-	return r != nil && r.poison && now.Sub(r.at) <= memory
+	return r != nil && r.blocked && now.Sub(r.newest) <= evidenceTTL
 }
 
-// Crashed records that an endpoint crashed under an attempt at a content.
+// Crashed records that an endpoint crashed during an attempt at a content.
 func (l *Ledger) Crashed(now time.Time, content uint64, a Attempt) {
 	if content == 0 {
-		return // nothing is known of it
+		return // the content is unknown
 	}
 	l.mu.Lock()
 	found := 0
 	if r := l.add(now, content, crash{Attempt: a, at: now}); r != nil {
-		r.crashes[len(r.crashes)-1].Rate = l.rate()
-		l.number(r, 1)
-		found = l.judge(r)
+		r.crashes[len(r.crashes)-1].Rate = l.crashRate()
+		l.assignSeqs(r, 1)
+		found = l.evaluate(r)
 	}
 	l.mu.Unlock()
-	l.tell(content, found)
+	l.notifyBlocked(content, found)
 }
 
-// Served records a whole answer: what crashes each endpoint that runs it has none, so
-// that all crashes before had other causes.
+// Served records a complete answer. A poison request never gets one, so all crashes
+// before it had other causes and are discarded.
 //
-// Workers crash for reasons of their own, and a request that
-// many callers send alike is there each time. It shows as callers who are turned away
-// from workers that serve them well.
+// Without this, a request that many callers send in the same form would be blocked when
+// endpoints crash for other reasons, because it runs at each of them.
 func (l *Ledger) Served(now time.Time, content uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if content == 0 {
 		return
 	}
-	l.served.note(content, now)
+	l.successes.add(content, now)
 	if r := l.contents[content]; r != nil && l.clear(r, now) {
-		l.numberServed(r)
+		l.assignSuccessSeq(r)
 	}
 }
 
-// add records a crash unless it is known or refuted. It returns the record if it is new
-// there; l.mu is held.
+// add records a crash unless it is already known or a complete answer came after it. It
+// returns the record if the crash was added, else nil; l.mu must be held.
 func (l *Ledger) add(now time.Time, content uint64, c crash) *record {
-	l.countEnd(now, c)
+	l.countCrash(now, c)
 	r := l.contents[content]
 	if r == nil {
 		r = &record{}
 		l.contents[content] = r
-		l.clear(r, l.served.at(content))
-		l.bound(now)
+		l.clear(r, l.successes.last(content))
+		l.evict(now)
 	}
-	r.crashes = slices.DeleteFunc(r.crashes, func(x crash) bool { return now.Sub(x.at) > memory })
+	r.crashes = slices.DeleteFunc(r.crashes, func(x crash) bool { return now.Sub(x.at) > evidenceTTL })
 	known := slices.ContainsFunc(r.crashes, func(x crash) bool { return x.Endpoint == c.Endpoint })
 	switch {
-	case !c.at.After(r.served):
-		l.numberServed(r) // who told the crash does not know that yet
+	case !c.at.After(r.lastSuccess):
+		l.assignSuccessSeq(r) // the sender of the crash does not know of the answer
 		return nil
-	case known || len(r.crashes) >= crashesMost:
+	case known || len(r.crashes) >= maxCrashes:
 		return nil
 	}
 	r.crashes = append(r.crashes, c)
-	r.at = latest(r.at, c.at)
+	r.newest = latest(r.newest, c.at)
 	return r
 }
 
@@ -182,114 +183,120 @@
 	return b
 }
 
-// countEnd counts the end of an endpoint; l.mu is held.
-func (l *Ledger) countEnd(now time.Time, c crash) {
-	for id, at := range l.ended {
+// countCrash adds a crash to those that the crash rate is measured from; l.mu must be
+// held.
+func (l *Ledger) countCrash(now time.Time, c crash) {
+	for id, at := range l.recentCrashes {
 		if now.Sub(at) > rateWindow {
-			delete(l.ended, id)
+			delete(l.recentCrashes, id)
 		}
 	}
-	if _, counted := l.ended[c.Endpoint]; !counted && len(l.ended) < endpointsMost && now.Sub(c.at) <= rateWindow {
-		l.ended[c.Endpoint] = c.at
+	if _, counted := l.recentCrashes[c.Endpoint]; !counted && len(l.recentCrashes) < maxEndpoints && now.Sub(c.at) <= rateWindow {
+		l.recentCrashes[c.Endpoint] = c.at
 	}
 }
 
-// clear forgets the crashes up to a whole answer, and returns whether there were any;
-// l.mu is held.
+// clear records a complete answer and removes the crashes up to it. It reports whether
+// there were any; l.mu must be held.
 func (l *Ledger) clear(r *record, at time.Time) bool {
-	if !at.After(r.served) {
+	if !at.After(r.lastSuccess) {
 		return false
 	}
 	before := len(r.crashes)
-	r.served, r.at = at, latest(r.at, at)
+	r.lastSuccess, r.newest = at, latest(r.newest, at)
 	r.crashes = slices.DeleteFunc(r.crashes, func(c crash) bool { return !c.at.After(at) })
 	if len(r.crashes) == before {
 		return false
 	}
-	r.poison = false
+	r.blocked = false
 	return true
 }
 
-// judge decides whether a content is turned away, and returns the number of its crashes
-// if it is from now on, else zero; l.mu is held.
+// evaluate decides whether a content becomes blocked. If so, it returns the number of its
+// crashes, else zero; l.mu must be held.
 //
-// What crashes each endpoint at its start ends them soon; what is innocent has run for
-// any time. So the chance of coincidence is that any endpoint crashes within the time
-// that the request had been there, by how often endpoints crash, or crashed at any of
-// these crashes: evidence of a storm must not be judged by the calm after it.
-func (l *Ledger) judge(r *record) int {
-	if r.poison {
+// A poison request crashes an endpoint soon after its start there; an innocent one may
+// have run for any time. So the probability of coincidence for one crash is that of an
+// endpoint crashing within the time that the attempt had lasted. The crash rate is the
+// highest of the present one and those at the time of each crash: crashes during a burst
+// must not be judged by the low rate after it.
+func (l *Ledger) evaluate(r *record) int {
+	if r.blocked {
 		return 0
 	}
-	rate := l.rate()
+	rate := l.crashRate()
 	for _, c := range r.crashes {
 		rate = max(rate, c.Rate)
 	}
-	chance := 1.0
+	probability := 1.0
 	ran := false
 	for _, c := range r.crashes {
-		chance *= c.chance(rate)
+		probability *= c.coincidence(rate)
 		ran = ran || c.Ran
 	}
 	switch n := len(r.crashes); {
-	case chance <= chanceMost, n >= crashesMost:
-		r.poison = true
-	case n >= crashesMany && !ran:
-		r.poison = chance <= chanceMany
+	case probability <= maxCoincidence, n >= maxCrashes:
+		r.blocked = true
+	case n >= manyCrashes && !ran:
+		r.blocked = probability <= maxCoincidenceMany
 	}
-	if r.poison {
+	if r.blocked {
 		return len(r.crashes)
 	}
 	return 0
 }
 
-// chance is that of coincidence if endpoints crash at a rate.
-func (c crash) chance(rate float64) float64 {
-	floor := chanceFloor
+// coincidence returns the probability that the crash was coincidence, given the crash rate
+// of endpoints.
+func (c crash) coincidence(rate float64) float64 {
+	floor := minCoincidence
 	if c.Ran {
-		floor = ranFloor
+		floor = minCoincidenceRan
 	}
 	return max(1-math.Exp(-rate*c.Lasted.Seconds()), floor)
 }
 
-// rate is how often an endpoint crashes, in crashes a second. One more than was seen is
-// counted, so that few of them prove nothing; l.mu is held.
-func (l *Ledger) rate() float64 {
-	living := 0
+// crashRate returns how often an endpoint crashes, in crashes per second. One crash more
+// than observed is counted, so that a small number of crashes proves nothing; l.mu must be
+// held.
+func (l *Ledger) crashRate() float64 {
+	alive := 0
 	for _, id := range l.endpoints {
-		if _, ended := l.ended[id]; !ended {
-			living++ // one that crashed stays published for seconds
+		if _, crashed := l.recentCrashes[id]; !crashed {
+			alive++ // a crashed endpoint stays published for seconds
 		}
 	}
-	return float64(len(l.ended)+1) / (float64(max(living, 1)) * rateWindow.Seconds())
+	return float64(len(l.recentCrashes)+1) / (float64(max(alive, 1)) * rateWindow.Seconds())
 }
 
-// bound forgets the oldest record if there are too many; l.mu is held.
-func (l *Ledger) bound(now time.Time) {
-	if len(l.contents) <= contentsMost {
+// evict keeps the number of records within maxContents: it removes expired records or
+// else the oldest one, and a blocked one only if all are blocked. l.mu must be held.
+func (l *Ledger) evict(now time.Time) {
+	if len(l.contents) <= maxContents {
 		return
 	}
 	var oldest uint64
 	var r *record
 	for content, x := range l.contents {
-		if now.Sub(x.at) > memory {
+		if now.Sub(x.newest) > evidenceTTL {
 			delete(l.contents, content)
 			continue
 		}
-		if x.at.IsZero() {
-			continue // the one that is being recorded
+		if x.newest.IsZero() {
+			continue // the record that is being added
 		}
-		if r == nil || r.poison && !x.poison || r.poison == x.poison && x.at.Before(r.at) {
+		if r == nil || r.blocked && !x.blocked || r.blocked == x.blocked && x.newest.Before(r.newest) {
 			oldest, r = content, x
 		}
 	}
-	if r != nil && len(l.contents) > contentsMost {
+	if r != nil && len(l.contents) > maxContents {
 		delete(l.contents, oldest)
 	}
 }
 
-// tell tells Found what judge returned, if anything; l.mu is not held.
-func (l *Ledger) tell(content uint64, crashes int) {
+// notifyBlocked calls Found if evaluate returned a number of crashes; l.mu must not be
+// held.
+func (l *Ledger) notifyBlocked(content uint64, crashes int) {
 	if crashes > 0 && l.Found != nil {
 		l.Found(content, crashes)
 	}
--- a/poison/ledger_test.go
+++ b/poison/ledger_test.go
@@ -17,7 +17,7 @@
 const (
 	bad       = 0xbad
 	endpoints = 9
-	// soon is how long a request runs that crashes its endpoint at once.
+	// soon is how long an attempt lasts if the request crashes its endpoint at once.
 	soon = 80 * time.Millisecond
 )
 
@@ -33,9 +33,9 @@
 
 func name(i int) string { return fmt.Sprint("endpoint-", i) }
 
-// TestThreeCrashes: a request that ends each endpoint soon after it has come there is
-// turned away after the third, not after the second.
-func TestThreeCrashes(t *testing.T) {
+// A request that crashes each endpoint soon after its start there is blocked after the
+// third crash, not after the second.
+func TestThreeCrashesBlock(t *testing.T) {
 	l := newLedger()
 	found := 0
 	l.Found = func(content uint64, crashes int) {
@@ -50,14 +50,14 @@
 	assert.True(t, l.Turned(at(3*time.Second), bad))
 	assert.Equal(t, 3, found)
 	assert.False(t, l.Turned(at(3*time.Second), bad+1))
-	assert.False(t, l.Turned(at(2*time.Hour), bad), "whoever keeps the service may have mended it")
+	assert.False(t, l.Turned(at(2*time.Hour), bad), "the service may have been fixed by then")
 }
 
-// TestInnocentAmongCrashes: endpoints crash one after the other for reasons of their own,
-// and callers come back with the same request after each. One that had run for a while
-// each time is there by chance and is served, more often than its callers and their
-// attempts can bring it there; after eight crashes it is turned away whatever else crashes.
-func TestInnocentAmongCrashes(t *testing.T) {
+// Endpoints crash one after the other for other reasons, and callers repeat the same
+// request after each crash. If it had run for a while each time, it must not be blocked
+// for as many crashes as its callers and their attempts can run into. After eight crashes
+// it is blocked whatever else crashes.
+func TestInnocentRequestIsNotBlocked(t *testing.T) {
 	l := newLedger()
 	const innocent = 1
 	for i := range 12 {
@@ -71,10 +71,10 @@
 	assert.True(t, l.Turned(now, innocent))
 }
 
-// TestPoisonBehindOthers: the engines are busy, so that a request that crashes them waits
-// there for a second before it starts. It looks like one that has run, and is turned away
-// after five crashes although engines crash under others too.
-func TestPoisonBehindOthers(t *testing.T) {
+// The engines are busy, so a poison request waits there for a second before it starts,
+// which looks as if it had run. It must be blocked after five crashes, although engines
+// crash during other requests too.
+func TestQueuedPoisonIsBlocked(t *testing.T) {
 	l := newLedger()
 	for i := range 5 {
 		now := at(time.Duration(i) * time.Second)
@@ -85,10 +85,10 @@
 	assert.True(t, l.Turned(at(5*time.Second), bad))
 }
 
-// TestWholeAnswerClears: many callers ask for the same seat while workers crash. The
-// question is there at each crash, and it is answered in between, here or at another
-// entry; all entries go on serving it.
-func TestWholeAnswerClears(t *testing.T) {
+// Many callers send the same request while endpoints crash for other reasons, so it runs
+// at each crashed endpoint. As it is answered completely in between, at this or another
+// entry, no entry may block it.
+func TestCompleteAnswerClearsCrashes(t *testing.T) {
 	here, there := newLedger(), newLedger()
 	for i := range 10 {
 		now := at(time.Duration(i) * time.Second)
@@ -100,7 +100,8 @@
 	}
 }
 
-// exchange tells two entries all that the other one knows.
+// exchange sends all updates of two entries to each other, twice, so that relayed ones
+// arrive as well.
 func exchange(now time.Time, a, b *poison.Ledger) {
 	for range 2 {
 		fromA, _ := a.News(now, 0)
@@ -110,9 +111,9 @@
 	}
 }
 
-// TestCrashesOfAllEntriesCount: each of three entries sees one crash under a request. All
-// know it once they have told each other; one that starts later learns it from any of
-// them, though that one saw a single crash itself.
+// Each of three entries sees one crash during a request. All of them block it once they
+// have exchanged updates. An entry that starts later learns of it from any one of them,
+// although that one saw only a single crash itself.
 func TestCrashesOfAllEntriesCount(t *testing.T) {
 	entries := []*poison.Ledger{newLedger(), newLedger(), newLedger()}
 	for i, l := range entries {
@@ -128,16 +129,16 @@
 	}
 	newcomer := newLedger()
 	later := now.Add(10 * time.Minute)
-	words, upTo := entries[2].News(later, 0)
-	newcomer.Hear(later, words)
+	updates, upTo := entries[2].News(later, 0)
+	newcomer.Hear(later, updates)
 	assert.True(t, newcomer.Turned(later, bad))
 	more, _ := entries[2].News(later, upTo)
-	assert.Empty(t, more, "news is told once")
+	assert.Empty(t, more, "each update is sent once")
 }
 
-// TestHearsayEnds: entries hand on what others say for ever, so that a request stays
-// turned away, or links are full of it.
-func TestHearsayEnds(t *testing.T) {
+// Entries must not relay updates to each other for ever, which would keep a request
+// blocked and fill the links.
+func TestRelayedUpdatesExpire(t *testing.T) {
 	a, b := newLedger(), newLedger()
 	for i := range 3 {
 		a.Crashed(at(0), bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
@@ -152,8 +153,8 @@
 	assert.False(t, b.Turned(at(100*time.Minute), bad))
 }
 
-// TestLedgerIsBounded: an outage ends all endpoints again and again, under other requests
-// each time. What is remembered stays bounded, and what is turned away stays so.
+// During an outage all endpoints crash again and again, with other requests running each
+// time. The number of records stays bounded, and a blocked content stays blocked.
 func TestLedgerIsBounded(t *testing.T) {
 	l := newLedger()
 	for i := range 3 {
@@ -163,24 +164,24 @@
 		now := at(time.Duration(i) * time.Millisecond)
 		l.Crashed(now, uint64(i+100_000), poison.Attempt{Endpoint: name(i / 16), Lasted: time.Second})
 	}
-	words, _ := l.News(at(10*time.Second), 0)
-	assert.LessOrEqual(t, len(words), 256)
-	told, seq := 0, uint64(0)
+	updates, _ := l.News(at(10*time.Second), 0)
+	assert.LessOrEqual(t, len(updates), 256)
+	total, seq := 0, uint64(0)
 	for {
-		words, upTo := l.News(at(10*time.Second), seq)
-		if len(words) == 0 {
+		updates, upTo := l.News(at(10*time.Second), seq)
+		if len(updates) == 0 {
 			break
 		}
-		told, seq = told+len(words), upTo
+		total, seq = total+len(updates), upTo
 	}
-	assert.LessOrEqual(t, told, 2048+3)
+	assert.LessOrEqual(t, total, 2048+3)
 	assert.True(t, l.Turned(at(10*time.Second), bad))
 }
 
-// TestInnocentOfAnEarlierStorm: engines crash one after the other, and a draft that comes
-// back is there three times; nobody turns it away. An entry that starts when the storm is
-// over is told its crashes, and must not take them for those of a calm time.
-func TestInnocentOfAnEarlierStorm(t *testing.T) {
+// During a burst of crashes an innocent request that is repeated runs at three crashed
+// engines, and no entry blocks it. An entry that starts after the burst gets these crashes
+// as updates and must judge them by the crash rate of the burst, not by its own.
+func TestCrashRateOfBurstIsShared(t *testing.T) {
 	const innocent = 1
 	there := newLedger()
 	now := at(0)
@@ -194,14 +195,14 @@
 	assert.False(t, there.Turned(now, innocent))
 	later := now.Add(time.Minute)
 	newcomer := newLedger()
-	words, _ := there.News(later, 0)
-	newcomer.Hear(later, words)
+	updates, _ := there.News(later, 0)
+	newcomer.Hear(later, updates)
 	assert.False(t, newcomer.Turned(later, innocent))
 }
 
-// TestInnocentOfAStormAndACalm: a draft that was at three crashes of a storm comes back when
-// it is over and meets one more crash. It must not be turned away for it.
-func TestInnocentOfAStormAndACalm(t *testing.T) {
+// An innocent request ran at three crashed engines during a burst of crashes. It is sent
+// again after the burst, and one more engine crashes. It must not be blocked for that.
+func TestCrashAfterBurstDoesNotBlock(t *testing.T) {
 	const innocent = 1
 	l := newLedger()
 	for i := range 12 {
--- a/poison/news.go
+++ b/poison/news.go
@@ -7,114 +7,114 @@
 )
 
 const (
-	// newsMost bounds what is told at a time: some 10 kB.
-	newsMost = 256
-	// freshFor is how long a single crash is told to entries that are new: it concerns a
-	// request that is still tried.
-	freshFor = time.Minute
-	// corroborated is the number of crashes from which on what others say is handed on,
-	// so that all hear of what crashes endpoints again, and entries that start learn it
-	// from any other.
-	corroborated = 2
+	// maxUpdates is the maximum number of updates sent at a time, some 10 kB.
+	maxUpdates = 256
+	// singleCrashTTL is how long a content with a single crash is reported to entries that
+	// start: it only matters while the request is still being tried.
+	singleCrashTTL = time.Minute
+	// relayThreshold is the number of crashes from which on updates received from other
+	// entries are relayed, so that all entries learn of a content that crashes endpoints
+	// repeatedly, and entries that start learn it from any other.
+	relayThreshold = 2
 )
 
-// Word is what one entry tells others of a content: a crash under it, or that it was
-// answered whole.
+// Word is an update that one entry sends others about a content: a crash during an
+// attempt at it, or a complete answer.
 type Word struct {
 	Content uint64
-	// Attempt names no endpoint for a whole answer.
+	// Attempt has no Endpoint if the update is about a complete answer.
 	Attempt
-	// Age is how long ago that was.
+	// Age is the time since the crash or the answer.
 	Age time.Duration
 }
 
-// Seq is the number of the newest news.
+// Seq returns the sequence number of the newest update.
 func (l *Ledger) Seq() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.seq
 }
 
-// News returns what is to be told to one who knows all up to a number, and the number
-// up to which it then knows all.
+// News returns the updates for an entry that has received all up to a sequence number,
+// and the sequence number up to which it is complete afterwards.
 func (l *Ledger) News(now time.Time, after uint64) ([]Word, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	type numbered struct {
+	type sequenced struct {
 		Word
 		seq uint64
 	}
-	var list []numbered
+	var list []sequenced
 	for content, r := range l.contents {
-		fresh := len(r.crashes) >= corroborated || now.Sub(r.at) <= freshFor
+		fresh := len(r.crashes) >= relayThreshold || now.Sub(r.newest) <= singleCrashTTL
 		if !fresh {
 			continue
 		}
 		for _, c := range r.crashes {
 			if c.seq > after {
-				list = append(list, numbered{Word{content, c.Attempt, now.Sub(c.at)}, c.seq})
+				list = append(list, sequenced{Word{content, c.Attempt, now.Sub(c.at)}, c.seq})
 			}
 		}
-		if r.seq > after {
-			list = append(list, numbered{Word{Content: content, Age: now.Sub(r.served)}, r.seq})
+		if r.successSeq > after {
+			list = append(list, sequenced{Word{Content: content, Age: now.Sub(r.lastSuccess)}, r.successSeq})
 		}
 	}
-	slices.SortFunc(list, func(a, b numbered) int { return cmp.Compare(a.seq, b.seq) })
+	slices.SortFunc(list, func(a, b sequenced) int { return cmp.Compare(a.seq, b.seq) })
 	upTo := l.seq
-	if len(list) > newsMost {
-		list = list[:newsMost]
-		upTo = list[newsMost-1].seq
+	if len(list) > maxUpdates {
+		list = list[:maxUpdates]
+		upTo = list[maxUpdates-1].seq
 	}
-	words := make([]Word, 0, len(list))
+	updates := make([]Word, 0, len(list))
 	for _, n := range list {
-		words = append(words, n.Word)
+		updates = append(updates, n.Word)
 	}
-	return words, upTo
+	return updates, upTo
 }
 
-// Hear takes what another entry tells.
-func (l *Ledger) Hear(now time.Time, words []Word) {
-	for _, w := range words {
-		if w.Age < 0 || w.Age > memory {
+// Hear merges updates from another entry.
+func (l *Ledger) Hear(now time.Time, updates []Word) {
+	for _, w := range updates {
+		if w.Age < 0 || w.Age > evidenceTTL {
 			continue
 		}
 		if w.Endpoint == "" {
-			l.hearServed(now.Add(-w.Age), w.Content)
+			l.mergeSuccess(now.Add(-w.Age), w.Content)
 			continue
 		}
-		l.hearCrash(now, w)
+		l.mergeCrash(now, w)
 	}
 }
 
-func (l *Ledger) hearCrash(now time.Time, w Word) {
+func (l *Ledger) mergeCrash(now time.Time, w Word) {
 	l.mu.Lock()
 	found := 0
 	r := l.add(now, w.Content, crash{Attempt: w.Attempt, at: now.Add(-w.Age)})
 	if r != nil {
-		l.number(r, corroborated)
-		found = l.judge(r)
+		l.assignSeqs(r, relayThreshold)
+		found = l.evaluate(r)
 	}
 	l.mu.Unlock()
-	l.tell(w.Content, found)
+	l.notifyBlocked(w.Content, found)
 }
 
-func (l *Ledger) hearServed(at time.Time, content uint64) {
+func (l *Ledger) mergeSuccess(at time.Time, content uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.contents[content]
-	if r == nil || !at.After(r.served) {
+	if r == nil || !at.After(r.lastSuccess) {
 		return
 	}
-	handOn := len(r.crashes) >= corroborated
-	if l.clear(r, at) && handOn {
-		l.numberServed(r)
+	relay := len(r.crashes) >= relayThreshold
+	if l.clear(r, at) && relay {
+		l.assignSuccessSeq(r)
 	}
 }
 
-// number numbers the crashes of a record to be told, if there are enough of them; l.mu
-// is held.
-func (l *Ledger) number(r *record, least int) {
-	if len(r.crashes) < least {
+// assignSeqs assigns sequence numbers to the crashes of a record that have none, if it has
+// at least minCrashes; l.mu must be held.
+func (l *Ledger) assignSeqs(r *record, minCrashes int) {
+	if len(r.crashes) < minCrashes {
 		return
 	}
 	for i := range r.crashes {
@@ -125,11 +125,12 @@
 	}
 }
 
-// numberServed numbers the whole answer of a record to be told, once; l.mu is held.
-func (l *Ledger) numberServed(r *record) {
-	if r.told.Equal(r.served) {
+// assignSuccessSeq assigns a sequence number to the last complete answer of a record unless
+// it has one; l.mu must be held.
+func (l *Ledger) assignSuccessSeq(r *record) {
+	if r.sequencedSuccess.Equal(r.lastSuccess) {
 		return
 	}
 	l.seq++
-	r.seq, r.told = l.seq, r.served
+	r.successSeq, r.sequencedSuccess = l.seq, r.lastSuccess
 }
--- a/poison/served.go
+++ b/poison/served.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// servedSlots is the number of contents answered lately that are remembered, of those
-// with the same slot the last one: 64 kB.
-const servedSlots = 2048
+// successSlots is the number of slots of recentSuccesses, which take 64 kB.
+const successSlots = 2048
 
-// servedLately remembers contents answered lately in bounded memory.
-type servedLately struct {
-	slots [servedSlots]struct {
+// recentSuccesses holds the times of recent complete answers in bounded memory: contents
+// are hashed to slots, and each slot holds the content that was answered last.
+type recentSuccesses struct {
+	slots [successSlots]struct {
 		content uint64
 		at      time.Time
 	}
 }
 
-func (s *servedLately) note(content uint64, at time.Time) {
-	slot := &s.slots[content%servedSlots]
+func (s *recentSuccesses) add(content uint64, at time.Time) {
+	slot := &s.slots[content%successSlots]
 	slot.content, slot.at = content, at
 }
 
-// at returns when a content was answered last, zero if that is not known.
-func (s *servedLately) at(content uint64) time.Time {
-	if slot := &s.slots[content%servedSlots]; slot.content == content {
+// last returns the time of the last complete answer to a content; zero if unknown.
+func (s *recentSuccesses) last(content uint64) time.Time {
+	if slot := &s.slots[content%successSlots]; slot.content == content {
 		return slot.at
 	}
 	return time.Time{}
