--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -1,6 +1,7 @@
-// Package schedule chooses an endpoint: filters drop candidates, scorers rate
-// the rest, a picker takes one. All three are plug-ins over a read-only
-// snapshot, chosen for each pool by the configuration document.
+// Package schedule chooses the endpoint for a request: filters drop candidates,
+// scorers rate the rest, a picker takes one. All three are plug-ins, which the
+// configuration document selects for each pool; they work on a read-only snapshot
+// of the endpoints.
 package schedule
 
 import (
@@ -14,35 +15,37 @@
 	"ebonypulley/wire"
 )
 
-// Request is what a choice depends on.
+// Request holds the properties of a request that the choice depends on.
 type Request struct {
 	// Tokens is the length of the prompt.
 	Tokens int
-	// Spare work is that of a tier confined to spare capacity.
+	// Spare reports that the request belongs to a tier confined to spare capacity.
 	Spare bool
 }
 
-// Candidate is the snapshot of one endpoint as this entry knows it. It may be
-// out of date: the agent decides.
+// Candidate is the snapshot of one endpoint as this entry knows it. It may be out
+// of date; the endpoint's agent makes the final decision.
 type Candidate struct {
 	Endpoint config.Endpoint
-	// Distance is the delay one way from this entry.
+	// Distance is the one-way delay from this entry.
 	Distance time.Duration
-	// Load is the agent's last word.
+	// Load is the agent's last load report.
 	Load wire.Load
-	// InFlight counts this entry's own attempts begun after that word.
+	// InFlight is the number of this entry's attempts begun after that report.
 	InFlight int
-	// Ready says that a connection stands and the endpoint is neither
-	// leaving nor down.
+	// Ready reports that a connection is established and the endpoint is neither
+	// draining nor down.
 	Ready bool
-	// CachedTokens is how much of the prompt the engine probably caches.
+	// CachedTokens is the number of tokens of the prompt that the engine probably
+	// caches.
 	CachedTokens int
-	// Tried says that this request was refused or lost there already.
+	// Tried reports that an attempt of this request at the endpoint was refused or
+	// lost before.
 	Tried bool
 }
 
-// Occupied is the share of the endpoint that is in use or waited for; it
-// exceeds 1 when requests wait.
+// Occupied returns the utilization of the endpoint: active, waiting and in-flight
+// requests as a fraction of its capacity. It exceeds 1 when requests wait.
 func (c *Candidate) Occupied() float64 {
 	if c.Load.Capacity == 0 {
 		return 1
@@ -50,7 +53,7 @@
 	return float64(c.Load.Active+c.Load.Waiting+c.InFlight) / float64(c.Load.Capacity)
 }
 
-// Scored is a candidate with its weighted score; higher is better.
+// Scored is a candidate with the weighted sum of its scores; higher is better.
 type Scored struct {
 	*Candidate
 	Score float64
@@ -68,27 +71,28 @@
 	Score(req *Request, c *Candidate) float64
 }
 
-// Picker returns the index of its choice among at least one candidate.
+// Picker chooses among the scored candidates.
 type Picker interface {
 	ebonypulley.Plugin
+	// Pick returns the index of its choice; there is at least one candidate.
 	Pick(req *Request, scored []Scored, rnd *rand.Rand) int
 }
 
 var (
 	scheduleErrors = errorx.NewNamespace("schedule")
-	// ErrNone is returned when no candidate is left.
+	// ErrNone is returned when no candidate is left after the filters.
 	ErrNone = scheduleErrors.NewType("none")
 )
 
-type weighted struct {
+type weightedScorer struct {
 	scorer Scorer
 	weight float64
 }
 
-// Profile is a provisioned chain of plug-ins.
+// Profile is a provisioned chain of filters, scorers and a picker.
 type Profile struct {
 	filters []Filter
-	scorers []weighted
+	scorers []weightedScorer
 	picker  Picker
 }
 
@@ -102,8 +106,8 @@
 	Picker: "picker.twochoices",
 }
 
-// NewProfile provisions the plug-ins that a policy names; empty fields take
-// the defaults.
+// NewProfile provisions the plug-ins that a policy names. Empty fields of the
+// policy take the defaults.
 func NewProfile(p config.Policy) (*Profile, error) {
 	if len(p.Filters) == 0 {
 		p.Filters = defaultPolicy.Filters
@@ -114,26 +118,27 @@
 	if p.Picker == "" {
 		p.Picker = defaultPolicy.Picker
 	}
-	prof := new(Profile)
+	profile := new(Profile)
 	for _, id := range p.Filters {
 		f, err := plugin[Filter](id)
 		if err != nil {
 			return nil, err
 		}
-		prof.filters = append(prof.filters, f)
+		profile.filters = append(profile.filters, f)
 	}
 	for _, s := range p.Scorers {
 		sc, err := plugin[Scorer](s.ID)
 		if err != nil {
 			return nil, err
 		}
-		prof.scorers = append(prof.scorers, weighted{scorer: sc, weight: s.Weight})
+		profile.scorers = append(profile.scorers, weightedScorer{scorer: sc, weight: s.Weight})
 	}
 	var err error
-	prof.picker, err = plugin[Picker](p.Picker)
-	return prof, err
+	profile.picker, err = plugin[Picker](p.Picker)
+	return profile, err
 }
 
+// plugin provisions a plug-in and checks that it implements T.
 func plugin[T ebonypulley.Plugin](id string) (T, error) {
 	var zero T
 	p, err := ebonypulley.NewPlugin(ebonypulley.PluginID(id))
@@ -142,12 +147,13 @@
 	}
 	t, ok := p.(T)
 	if !ok {
-		return zero, errorx.IllegalArgument.New("plug-in %q is of another kind", id)
+		return zero, errorx.IllegalArgument.New("plug-in %q is not of the required kind", id)
 	}
 	return t, nil
 }
 
-// Choose runs the chain. The candidates are used as scratch space.
+// Choose runs the chain and returns the chosen endpoint. It may modify the slice
+// of candidates.
 func (p *Profile) Choose(req *Request, candidates []Candidate, rnd *rand.Rand) (config.Endpoint, error) {
 	for _, f := range p.filters {
 		candidates = f.Filter(req, candidates)
--- a/schedule/schedule_test.go
+++ b/schedule/schedule_test.go
@@ -58,20 +58,20 @@
 	list = candidates(2)
 	list[0].Ready = false
 	list[1].Tried = true
-	assert.Equal(t, "e1", choose(t, config.Policy{}, schedule.Request{}, list), "a tried one is better than none")
+	assert.Equal(t, "e1", choose(t, config.Policy{}, schedule.Request{}, list), "an endpoint that was tried is better than none")
 	assert.Empty(t, choose(t, config.Policy{}, schedule.Request{}, candidates(0)))
 }
 
-func TestUnknownPluginNamesTheKnownOnes(t *testing.T) {
+func TestUnknownPluginErrorListsKnown(t *testing.T) {
 	_, err := schedule.NewProfile(config.Policy{Picker: "picker.oracle"})
 	assert.ErrorContains(t, err, "picker.twochoices")
 	_, err = schedule.NewProfile(config.Policy{Picker: "scorer.load"})
-	assert.ErrorContains(t, err, "another kind")
+	assert.ErrorContains(t, err, "not of the required kind")
 }
 
-// Story: one endpoint has just become idle, and 40 entries act on the same
-// late reports for a while. With the best score they all send to it and it is
-// overrun; with two choices the work spreads.
+// One endpoint has just become idle, and 40 entries act on the same outdated load
+// reports. With picker.best all of them choose it and overload it; with
+// picker.twochoices the requests are spread.
 func TestNoHerdOnNewlyIdleEndpoint(t *testing.T) {
 	most := func(picker string) int {
 		prof, err := schedule.NewProfile(config.Policy{Picker: picker})
