--- a/attempt/client.go
+++ b/attempt/client.go
@@ -18,7 +18,7 @@
 	Unknown
 )
 
-// End is the result of an attempt as its entry sees it.
+// End describes how an attempt ended, as its entry sees it.
 type End struct {
 	Fate Fate
 	// Outcome is set for Answered.
@@ -98,8 +98,7 @@
 }
 
 // Expire reports that the deadline has passed. For a started call the agent is
-// asked for the final state; if it does not answer soon, the caller of Expire
-// must call Settled.
+// asked for the final state, which the caller must not wait for indefinitely.
 func (c *Client) Expire() Step {
 	if c.phase == starting {
 		c.phase = withdrawing
--- a/estimate/engine.go
+++ b/estimate/engine.go
@@ -101,7 +101,7 @@
 }
 
 // Alone returns the estimated time to the first event at a decode engine that does
-// the prefill itself; for tokens and own see Prompt.
+// the prefill itself; tokens and own have the same meaning as for a prefill.
 func (e *Engines) Alone(tokens, own int, slo Promise) Time {
 	if e.localPrefill.Known() {
 		return newTime(e.localPrefill.At(float64(tokens)), e.localPrefill.Spread())
@@ -121,7 +121,7 @@
 	e.localPrefill.AddCensored(float64(tokens), milliseconds(after))
 }
 
-// handoffIndex returns the index in Engines.handoff: 0 within a data centre, 1
+// handoffIndex returns the index of a handoff estimate: 0 within a data centre, 1
 // between two.
 func handoffIndex(far bool) int {
 	if far {
--- a/estimate/mean.go
+++ b/estimate/mean.go
@@ -22,8 +22,8 @@
 )
 
 // Mean is an exponentially weighted moving mean with its mean absolute deviation.
-// The unit is the caller's; Engines uses milliseconds and counts. The zero value
-// has no samples.
+// The unit is the caller's; this package uses milliseconds and counts. The zero
+// value has no samples.
 type Mean struct {
 	samples         int
 	mean, deviation float64
--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -46,8 +46,8 @@
 )
 
 // Ledger holds what an entry knows of crashes and of the requests that ran at the crashed
-// endpoints. Requests are identified by a hash of their content. A Ledger is safe for
-// concurrent use.
+// endpoints. Requests are identified by a hash of their content. It is safe for concurrent
+// use.
 type Ledger struct {
 	// Found, if set, is called for each content that becomes blocked, with the number of its
 	// crashes.
@@ -98,7 +98,7 @@
 	seq uint64
 }
 
-// NewLedger returns an empty Ledger.
+// NewLedger returns an instance without records.
 func NewLedger() *Ledger {
 	return &Ledger{contents: make(map[uint64]*record), recentCrashes: make(map[string]time.Time)}
 }
@@ -294,8 +294,8 @@
 	}
 }
 
-// notifyBlocked calls Found if evaluate returned a number of crashes; l.mu must not be
-// held.
+// notifyBlocked calls the callback if evaluate returned a number of crashes; l.mu must not
+// be held.
 func (l *Ledger) notifyBlocked(content uint64, crashes int) {
 	if crashes > 0 && l.Found != nil {
 		l.Found(content, crashes)
