--- a/gossip/correct.go
+++ b/gossip/correct.go
@@ -8,45 +8,48 @@
 )
 
 const (
-	// doubtsMost is how many reports of a process that started ask for corrections, and
-	// doubtPause the pause between two of them.
-	doubtsMost = 16
-	doubtPause = 300 * time.Millisecond
+	// maxCorrectionRequests bounds the reports with which a process that has just started
+	// asks for corrections, and correctionInterval is the pause between two of them.
+	maxCorrectionRequests = 16
+	correctionInterval    = 300 * time.Millisecond
 )
 
-// doubt is that of a process which began with what the store had of a copy.
+// correctionRequests decides which reports ask for corrections of the published entries.
 //
-// A process starts between the store's return and the operator's next write, and reads the older
-// configuration of the copy. It shows as a configuration that reverts. The guard holds because
-// such a process asks others, one after another, for what they kept.
-type doubt struct {
-	begun bool
-	// left is how many reports are still to ask, asked when the last one did.
-	left  int
-	asked time.Time
+// A process that starts after the store was restored from a backup, and before the operator's
+// next write, reads the older configuration of the backup and would revert to it. It
+// therefore asks other entries, one after another, for what they kept from before the
+// restore.
+type correctionRequests struct {
+	started bool
+	// remaining is the number of reports that are still to ask, lastAsked when the last one
+	// did.
+	remaining int
+	lastAsked time.Time
 }
 
-// due reports whether the next report asks, of a process whose catalog is at a revision.
-func (d *doubt) due(now time.Time, own revision.Revision) bool {
+// due reports whether the next report asks; own is the revision of this process's catalog.
+func (c *correctionRequests) due(now time.Time, own revision.Revision) bool {
 	if own.IsZero() {
 		return false
 	}
-	if !d.begun {
-		d.begun = true
+	if !c.started {
+		c.started = true
 		if own.Era > 0 {
-			d.left = doubtsMost
+			c.remaining = maxCorrectionRequests
 		}
 	}
-	if d.left == 0 || now.Sub(d.asked) < doubtPause {
+	if c.remaining == 0 || now.Sub(c.lastAsked) < correctionInterval {
 		return false
 	}
-	d.left--
-	d.asked = now
+	c.remaining--
+	c.lastAsked = now
 	return true
 }
 
-// correct adds to a reply what was kept here when the store came back from a copy.
-func (n *Node) correct(reply *wire.Reply) {
+// addCorrections adds to a reply what this process kept when the store was restored from a
+// backup.
+func (n *Node) addCorrections(reply *wire.Reply) {
 	kept := n.catalog.Kept()
 	if len(kept) == 0 {
 		return
--- a/gossip/count_test.go
+++ b/gossip/count_test.go
@@ -18,8 +18,8 @@
 	"ebonypulley/router"
 )
 
-// startSimNode starts the node of an entry in a data centre on a network, after set has changed it,
-// and returns what ends it.
+// startSimNode starts the node of an entry on a simulated network, after set has configured
+// it, and returns the function that stops it.
 func startSimNode(t *testing.T, n *simnet.Net, name, centre string, seeds []string, set func(*gossip.Node)) context.CancelFunc {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -32,23 +32,22 @@
 	return cancel
 }
 
-// counting stores what a node tells of the number of entries.
-func counting(count *atomic.Int64) func(*gossip.Node) {
+// storeFleetSize makes a node store the fleet size it knows in count.
+func storeFleetSize(count *atomic.Int64) func(*gossip.Node) {
 	return func(node *gossip.Node) { node.Entries = func(n int) { count.Store(int64(n)) } }
 }
 
-// TestNewcomerAmongFew: more requests are repeated than the platform allows while a part of
-// the entries is cut off. One of that part is restarted meanwhile. It hears only the few
-// others there, and takes its part of the slack for one among few, though those it cannot
-// hear use theirs too. The others there remember how many there were and tell it, for an
-// hour.
-func TestNewcomerAmongFew(t *testing.T) {
+// TestNewcomerInPartitionLearnsFleetSize guards against more retries than the platform allows
+// during a partition. An entry restarted in a small partition hears only the few others
+// there, and would take too large a share of the retry slack, which the entries it can't hear
+// use too. The others there remember for an hour how many there were, and tell it.
+func TestNewcomerInPartitionLearnsFleetSize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const all, left = 6, 1
 		n := simnet.New()
 		start := func(i int) (counted *atomic.Int64, end func()) {
 			counted = new(atomic.Int64)
-			return counted, startSimNode(t, n, fmt.Sprint("entry-", i), "dc", []string{"entry-0:1"}, counting(counted))
+			return counted, startSimNode(t, n, fmt.Sprint("entry-", i), "dc", []string{"entry-0:1"}, storeFleetSize(counted))
 		}
 		var ends []func()
 		for i := range all {
@@ -66,7 +65,7 @@
 		time.Sleep(time.Hour)
 		late, endLate := start(all + 1)
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, int64(left+2), late.Load(), "those that are gone for good count no more")
+		assert.Equal(t, int64(left+2), late.Load(), "entries that are gone for good are not counted")
 		ends[0]()
 		endNewcomer()
 		endLate()
@@ -75,9 +74,9 @@
 	})
 }
 
-// TestRestartedTogetherCountEachOther: all entries start together, and take limits and budgets for
-// shared among few for as long as they have not heard of each other.
-func TestRestartedTogetherCountEachOther(t *testing.T) {
+// TestSimultaneousStartCountsAllEntries guards against entries that start together and share
+// limits and budgets among few until they have heard of each other.
+func TestSimultaneousStartCountsAllEntries(t *testing.T) {
 	for _, all := range []int{5, 27, 68} {
 		synctest.Test(t, func(t *testing.T) {
 			n := simnet.New()
@@ -86,7 +85,7 @@
 			seeds := []string{"entry-0:1", "entry-1:1", "entry-2:1"}
 			var ends []context.CancelFunc
 			for i := range all {
-				ends = append(ends, startSimNode(t, n, fmt.Sprint("entry-", i), fmt.Sprint("dc-", i%3), seeds, counting(&counts[i])))
+				ends = append(ends, startSimNode(t, n, fmt.Sprint("entry-", i), fmt.Sprint("dc-", i%3), seeds, storeFleetSize(&counts[i])))
 			}
 			time.Sleep(700 * time.Millisecond)
 			for i := range counts {
@@ -101,8 +100,8 @@
 	}
 }
 
-// TestSeedStartsLater: entries that start a moment before their seed hear of nobody for a second,
-// so that each of them lists the store itself.
+// TestSeedStartsLater guards against entries that start a moment before their seed, hear of
+// nobody for a second and therefore each list the store.
 func TestSeedStartsLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := simnet.New()
@@ -111,7 +110,7 @@
 		var counts [4]atomic.Int64
 		var ends []context.CancelFunc
 		for i := range counts {
-			ends = append(ends, startSimNode(t, n, fmt.Sprint("entry-", i), "dc", []string{"entry-0:1"}, counting(&counts[i])))
+			ends = append(ends, startSimNode(t, n, fmt.Sprint("entry-", i), "dc", []string{"entry-0:1"}, storeFleetSize(&counts[i])))
 		}
 		time.Sleep(180 * time.Millisecond)
 		n.Partition()
--- a/gossip/counted_test.go
+++ b/gossip/counted_test.go
@@ -14,9 +14,10 @@
 	"ebonypulley/quota"
 )
 
-// TestRestartedEntryIsToldTheCount: an entry that restarts in a running fleet must not wait until
-// its count settles, and entries that restart together must not confirm each other's.
-func TestRestartedEntryIsToldTheCount(t *testing.T) {
+// TestFleetSizeIsConfirmedAfterRestart guards against an entry that restarts in a running
+// fleet and waits until its fleet size settles, and against entries that restart together and
+// confirm each other's incomplete sizes.
+func TestFleetSizeIsConfirmedAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const all = 5
 		n := simnet.New()
@@ -34,17 +35,17 @@
 		}
 		time.Sleep(time.Second)
 		for _, l := range ledgers {
-			assert.False(t, l.Counted(time.Now()))
+			assert.False(t, l.FleetSizeSettled(time.Now()))
 		}
 		time.Sleep(time.Second)
 		for _, l := range ledgers {
-			assert.True(t, l.Counted(time.Now()))
+			assert.True(t, l.FleetSizeSettled(time.Now()))
 		}
 		ends[all-1]()
 		time.Sleep(100 * time.Millisecond)
 		newcomer, end := start(all)
 		time.Sleep(200 * time.Millisecond)
-		assert.True(t, newcomer.Counted(time.Now()))
+		assert.True(t, newcomer.FleetSizeSettled(time.Now()))
 		end()
 		for _, end := range ends {
 			end()
--- a/gossip/crashes.go
+++ b/gossip/crashes.go
@@ -7,44 +7,44 @@
 	"ebonypulley/wire"
 )
 
-// crashNews are the news of crashes after a number, and the number up to which they are
-// complete.
-type crashNews struct {
+// crashUpdates holds the updates about crashes after a sequence number, and the number up to
+// which they are complete.
+type crashUpdates struct {
 	list []wire.Crash
-	// rates holds the rate of each crash of list.
+	// rates holds the crash rate that goes with each element of list.
 	rates []float64
 	upTo  uint64
 }
 
-// crashNews returns the news of crashes for one who knows them up to a number.
-func (n *Node) crashNews(now time.Time, after uint64) crashNews {
-	words, upTo := n.Crashes.News(now, after)
-	news := crashNews{upTo: upTo}
-	for _, w := range words {
-		news.list = append(news.list, wire.Crash{Content: w.Content, Endpoint: w.Endpoint, Age: w.Age, Lasted: w.Lasted, Ran: w.Ran})
-		news.rates = append(news.rates, w.Rate)
+// crashUpdates returns the crash updates for an entry that knows all up to a sequence number.
+func (n *Node) crashUpdates(now time.Time, after uint64) crashUpdates {
+	pending, upTo := n.Crashes.News(now, after)
+	updates := crashUpdates{upTo: upTo}
+	for _, w := range pending {
+		updates.list = append(updates.list, wire.Crash{Content: w.Content, Endpoint: w.Endpoint, Age: w.Age, Lasted: w.Lasted, Ran: w.Ran})
+		updates.rates = append(updates.rates, w.Rate)
 	}
-	return news
+	return updates
 }
 
-// toldCrashes notes the news of crashes that went on the connection of a report.
-func (n *Node) toldCrashes(s sending, upTo uint64) {
+// recordCrashesSent records the crash updates that were sent on the connection of a report.
+func (n *Node) recordCrashesSent(s dueReport, upTo uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l := n.links[s.addr]; l != nil && l.conn == s.conn {
-		l.crashes = upTo
+		l.crashSeq = upTo
 	}
 }
 
-// hearCrashes takes the news of another entry; rates may lack.
-func (n *Node) hearCrashes(now time.Time, list []wire.Crash, rates []float64) {
-	words := make([]poison.Word, 0, len(list))
+// mergeCrashes merges the crash updates of another entry; rates may be shorter than list.
+func (n *Node) mergeCrashes(now time.Time, list []wire.Crash, rates []float64) {
+	updates := make([]poison.Word, 0, len(list))
 	for i, c := range list {
 		w := poison.Word{Content: c.Content, Age: c.Age, Attempt: poison.Attempt{Endpoint: c.Endpoint, Lasted: c.Lasted, Ran: c.Ran}}
 		if i < len(rates) {
 			w.Rate = rates[i]
 		}
-		words = append(words, w)
+		updates = append(updates, w)
 	}
-	n.Crashes.Hear(now, words)
+	n.Crashes.Hear(now, updates)
 }
--- a/gossip/fetch.go
+++ b/gossip/fetch.go
@@ -10,46 +10,45 @@
 )
 
 const (
-	// largeValue is the size in bytes from which on a value is handed on by its
-	// parts: more than the entry of a worker, less than a configuration of a
-	// hundred routes.
-	largeValue = 16 << 10
-	// wantedParts bounds the parts asked for at a time, and answerBytes their
-	// packed bytes in one answer: 26 ms of a link of 10 Mbit/s, so that reports
-	// of work, which share the connection, are not held up.
-	wantedParts = 16
-	answerBytes = 32 << 10
-	// fetchPatience is how long a fetch may bring nothing before another entry
-	// is asked: an answer of answerBytes on a link of 10 Mbit/s that thirty
-	// connections share takes this long.
-	fetchPatience = 800 * time.Millisecond
+	// largeValueBytes is the size from which on a value is transferred in parts: more than
+	// the published entry of a worker, less than a configuration of a hundred routes.
+	largeValueBytes = 16 << 10
+	// maxWantedParts bounds the parts requested at a time, and maxPartsBytes their compressed
+	// bytes in one answer: 26 ms of a 10 Mbit/s link, so that the reports of work on the same
+	// connection are not delayed.
+	maxWantedParts = 16
+	maxPartsBytes  = 32 << 10
+	// fetchStallTimeout is how long a fetch may make no progress before another entry is
+	// asked. It is the time that an answer of maxPartsBytes takes on a 10 Mbit/s link shared
+	// by thirty connections.
+	fetchStallTimeout = 800 * time.Millisecond
 )
 
-// fetch is an answer of another entry whose large values are not all here yet.
-// It does no I/O and is not safe for concurrent use.
+// fetch is a reply of another entry whose large values have not all arrived yet. It does no
+// I/O and is not safe for concurrent use.
 type fetch struct {
-	from  string
+	peer  string
 	reply *wire.Reply
-	// values holds the values under way by their place in the reply.
+	// values holds the incomplete values by their index in the reply.
 	values map[int]*parts.Assembly
 	began  time.Time
-	// progress is when the last part came.
+	// progress is when the last missing part arrived.
 	progress time.Time
-	// ended says that the sender can't complete it.
-	ended bool
-	bytes int
+	// failed says that the sender can't complete it.
+	failed bool
+	bytes  int
 }
 
-// newFetch begins with the parts that this process has, those of a fetch that
-// was given up included.
-func newFetch(now time.Time, from string, reply *wire.Reply, here func(digest uint64) ([]byte, bool)) (*fetch, error) {
-	f := &fetch{from: from, reply: reply, values: make(map[int]*parts.Assembly), began: now, progress: now}
+// newFetch starts a fetch with the parts that this process already has, including those of an
+// abandoned fetch.
+func newFetch(now time.Time, peer string, reply *wire.Reply, local func(digest uint64) ([]byte, bool)) (*fetch, error) {
+	f := &fetch{peer: peer, reply: reply, values: make(map[int]*parts.Assembly), began: now, progress: now}
 	for i, e := range reply.Entries {
 		f.bytes += len(e.Value)
 		if e.Manifest == nil {
 			continue
 		}
-		value, err := parts.NewAssembly(*e.Manifest, here)
+		value, err := parts.NewAssembly(*e.Manifest, local)
 		if err != nil {
 			return nil, err
 		}
@@ -58,12 +57,12 @@
 	return f, nil
 }
 
-// alive reports whether more is to be expected of a fetch; it may be nil.
-func (f *fetch) alive(now time.Time) bool {
-	return f != nil && !f.ended && now.Sub(f.progress) <= fetchPatience
+// active reports whether more parts are expected; f may be nil.
+func (f *fetch) active(now time.Time) bool {
+	return f != nil && !f.failed && now.Sub(f.progress) <= fetchStallTimeout
 }
 
-// part returns a part that came; the fetch may be nil.
+// part returns a part that has arrived; f may be nil.
 func (f *fetch) part(digest uint64) ([]byte, bool) {
 	if f == nil {
 		return nil, false
@@ -76,37 +75,37 @@
 	return nil, false
 }
 
-// wanted returns the parts to ask for next.
+// wanted returns the parts to request next.
 func (f *fetch) wanted() (list []uint64) {
 	for _, v := range f.values {
-		list = append(list, v.Missing(wantedParts-len(list))...)
+		list = append(list, v.Missing(maxWantedParts-len(list))...)
 	}
 	return list
 }
 
-// add takes parts. None at all, or none that is wanted, ends the fetch: the
-// sender has a newer value now, and a new answer tells which.
-func (f *fetch) add(now time.Time, packed [][]byte) error {
+// addParts adds parts that arrived. If none of them is missing here, the fetch has failed:
+// the sender has a newer value by now, which the next reply describes.
+func (f *fetch) addParts(now time.Time, packed [][]byte) error {
 	fresh := false
 	for _, p := range packed {
 		f.bytes += len(p)
 		for _, v := range f.values {
 			ok, err := v.Add(p)
 			if err != nil {
-				f.ended = true
+				f.failed = true
 				return err
 			}
 			fresh = fresh || ok
 		}
 	}
-	f.ended = !fresh
+	f.failed = !fresh
 	if fresh {
 		f.progress = now
 	}
 	return nil
 }
 
-// entries returns what was fetched once nothing is wanted any more.
+// entries returns the fetched entries once no part is missing.
 func (f *fetch) entries() ([]catalog.Entry, error) {
 	list := make([]catalog.Entry, 0, len(f.reply.Entries))
 	for i, e := range f.reply.Entries {
--- a/gossip/fetch_test.go
+++ b/gossip/fetch_test.go
@@ -20,11 +20,11 @@
 	"ebonypulley/router"
 )
 
-// TestPartsAreKept: an entry on a narrow link begins with a large configuration
-// again from its first byte whenever the one that hands it on is lost, and never
-// has it whole where entries come and go. The parts that came count when another
-// one goes on.
-func TestPartsAreKept(t *testing.T) {
+// TestFetchResumesWithAnotherEntry guards against an entry on a narrow link that restarts the
+// fetch of a large configuration from its first byte whenever the sender is lost, and never
+// completes it where entries come and go. The parts that arrived are kept when another entry
+// continues.
+func TestFetchResumesWithAnotherEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var value bytes.Buffer
 		for i := range 60_000 {
@@ -49,9 +49,9 @@
 			return cat
 		}
 		seven := revision.Revision{Count: 7}
-		news := []catalog.Entry{{Key: "op/config", Value: value.Bytes(), Revision: seven}}
-		node("first", false).Merge(time.Now(), news, seven)
-		node("second", false).Merge(time.Now(), news, seven)
+		published := []catalog.Entry{{Key: "op/config", Value: value.Bytes(), Revision: seven}}
+		node("first", false).Merge(time.Now(), published, seven)
+		node("second", false).Merge(time.Now(), published, seven)
 		asker := node("asker", true)
 		time.Sleep(2 * time.Second)
 		n.Vanish("first")
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -26,8 +26,9 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// TestOneLeader: two entries order the same engine in turns. An entry that
-// hears nobody any more, or that another one still hears of, does not lead.
+// TestOneLeader guards against two entries that give orders to the same engine in turns. An
+// entry does not lead when it hears nobody any more, or when others still hear of one with a
+// lower address.
 func TestOneLeader(t *testing.T) {
 	a := gossip.NewMembers("a", "dc", []string{"a", "b"})
 	b := gossip.NewMembers("b", "dc", []string{"a", "b"})
@@ -39,99 +40,99 @@
 		}
 	}
 	all := func() {
-		a.Hear(now, "b", "dc")
-		a.Hear(now, "c", "dc")
-		b.Hear(now, "a", "dc")
-		b.Hear(now, "c", "dc")
-		c.Hear(now, "a", "dc")
-		c.Hear(now, "b", "dc")
-		a.Leads(now)
-		b.Leads(now)
-		c.Leads(now)
+		a.Observe(now, "b", "dc")
+		a.Observe(now, "c", "dc")
+		b.Observe(now, "a", "dc")
+		b.Observe(now, "c", "dc")
+		c.Observe(now, "a", "dc")
+		c.Observe(now, "b", "dc")
+		a.IsLeader(now)
+		b.IsLeader(now)
+		c.IsLeader(now)
 	}
 	step(4*time.Second, all)
-	assert.True(t, a.Leads(now))
-	assert.False(t, b.Leads(now))
+	assert.True(t, a.IsLeader(now))
+	assert.False(t, b.IsLeader(now))
 
 	step(20*time.Second, func() { // a and b don't hear each other, c hears both
-		a.Hear(now, "c", "dc")
-		b.Hear(now, "c", "dc")
+		a.Observe(now, "c", "dc")
+		b.Observe(now, "c", "dc")
 		b.Learn(now, []gossip.Member{{Addr: "a"}})
-		c.Hear(now, "a", "dc")
-		c.Hear(now, "b", "dc")
-		assert.False(t, b.Leads(now))
+		c.Observe(now, "a", "dc")
+		c.Observe(now, "b", "dc")
+		assert.False(t, b.IsLeader(now))
 	})
-	step(20*time.Second, func() { // a is cut off
-		b.Hear(now, "c", "dc")
-		c.Hear(now, "b", "dc")
-		b.Leads(now)
-		a.Leads(now)
+	step(20*time.Second, func() { // a is partitioned from the others
+		b.Observe(now, "c", "dc")
+		c.Observe(now, "b", "dc")
+		b.IsLeader(now)
+		a.IsLeader(now)
 	})
-	assert.False(t, a.Leads(now))
-	assert.True(t, b.Leads(now))
+	assert.False(t, a.IsLeader(now))
+	assert.True(t, b.IsLeader(now))
 }
 
-// TestMinorityDoesNotLead: two of five entries are cut off from the others and
-// order engines that the others order too.
+// TestMinorityDoesNotLead guards against two of five entries that are partitioned from the
+// others and give orders to engines that the others also control.
 func TestMinorityDoesNotLead(t *testing.T) {
 	m := gossip.NewMembers("a", "dc", []string{"a", "b"})
 	for d := time.Duration(0); d < 5*time.Second; d += time.Second {
 		for _, other := range []string{"b", "c", "d", "e"} {
-			m.Hear(at(d), other, "dc")
+			m.Observe(at(d), other, "dc")
 		}
-		m.Leads(at(d))
+		m.IsLeader(at(d))
 	}
-	assert.True(t, m.Leads(at(5*time.Second)))
+	assert.True(t, m.IsLeader(at(5*time.Second)))
 	for d := 5 * time.Second; d < 20*time.Second; d += time.Second {
-		m.Hear(at(d), "b", "dc")
+		m.Observe(at(d), "b", "dc")
 		if d > 9*time.Second {
-			assert.False(t, m.Leads(at(d)))
+			assert.False(t, m.IsLeader(at(d)))
 		}
 	}
 }
 
-// TestLonelyStart: an entry that starts cut off from all others leads; it has
-// seeds that it does not hear. Alone by its settings it leads.
-func TestLonelyStart(t *testing.T) {
-	cut := gossip.NewMembers("b", "dc", []string{"a", "b"})
+// TestLeadershipWithoutPeers guards against an entry that starts in a partition and leads
+// although it hears none of its seeds. An entry whose only seed is itself does lead.
+func TestLeadershipWithoutPeers(t *testing.T) {
+	isolated := gossip.NewMembers("b", "dc", []string{"a", "b"})
 	alone := gossip.NewMembers("b", "dc", []string{"b"})
 	for d := time.Duration(0); d < 10*time.Second; d += time.Second {
-		assert.False(t, cut.Leads(at(d)))
-		alone.Leads(at(d))
+		assert.False(t, isolated.IsLeader(at(d)))
+		alone.IsLeader(at(d))
 	}
-	assert.True(t, alone.Leads(at(10*time.Second)))
+	assert.True(t, alone.IsLeader(at(10*time.Second)))
 }
 
-func TestLostAndForgotten(t *testing.T) {
+func TestExpireAndForget(t *testing.T) {
 	m := gossip.NewMembers("a", "dc", []string{"seed"})
-	assert.True(t, m.Hear(at(0), "b", "dc"))
-	assert.False(t, m.Hear(at(time.Second), "b", "dc"))
+	assert.True(t, m.Observe(at(0), "b", "dc"))
+	assert.False(t, m.Observe(at(time.Second), "b", "dc"))
 	m.Learn(at(time.Second), []gossip.Member{{Addr: "c"}, {Addr: "a"}})
 	assert.Equal(t, []string{"b", "c", "seed"}, m.Targets(at(time.Second)))
-	assert.Equal(t, []string{"b"}, m.Lost(at(5*time.Second)))
+	assert.Equal(t, []string{"b"}, m.ExpireSilent(at(5*time.Second)))
 	assert.Equal(t, []string{"seed"}, m.Targets(at(45*time.Second)))
 }
 
-// TestNobodyIsLeftOut: in a fleet of more entries than one reports to, those that all
-// leave out know no work of others. Each entry draws its own: about as many report to
-// each as it reports to.
-func TestNobodyIsLeftOut(t *testing.T) {
+// TestEveryEntryGetsReports guards against entries of a large fleet that nobody reports to,
+// so that they do not know the work of others. Each entry selects its own targets: about as
+// many report to each entry as it reports to.
+func TestEveryEntryGetsReports(t *testing.T) {
 	const entries, most = 300, 96
 	name := func(i int) string { return fmt.Sprintf("10.0.%d.%d:1", i/100, i%100) }
-	told := make(map[string]int)
+	reporters := make(map[string]int)
 	for i := range entries {
 		m := gossip.NewMembers(name(i), "dc", nil)
 		for j := range entries {
-			m.Hear(at(0), name(j), "dc")
+			m.Observe(at(0), name(j), "dc")
 		}
 		targets := m.Targets(at(0))
 		assert.LessOrEqual(t, len(targets), most+1) // and the reader
 		for _, addr := range targets {
-			told[addr]++
+			reporters[addr]++
 		}
 	}
 	for i := range entries {
-		assert.Greater(t, told[name(i)], most/2, name(i))
+		assert.Greater(t, reporters[name(i)], most/2, name(i))
 	}
 }
 
@@ -152,62 +153,62 @@
 	return n, addr
 }
 
-// TestEntriesTellEachOther: an entry that is cut off from the store keeps an
-// old configuration, and entries overfill an engine. Each learns from the
-// others, also from those that it knows by hearsay only, what is published and
-// what work is under way.
-func TestEntriesTellEachOther(t *testing.T) {
+// TestPublishedEntriesAndWorkAreShared guards against an entry without access to the store
+// that keeps an old configuration, and against entries that overload an engine. Each learns
+// published entries and work in progress from the others, even those that only a third entry
+// mentioned.
+func TestPublishedEntriesAndWorkAreShared(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	seed, addr := startNode(t, ctx, false)
 	reader, _ := startNode(t, ctx, false, addr)
-	cut, _ := startNode(t, ctx, true, addr)
+	isolated, _ := startNode(t, ctx, true, addr)
 	reader.loads.Begin("engine", router.Load{Decodes: 2, KV: 11000})
 	seed.catalog.Merge(time.Now(), []catalog.Entry{{Key: "op/config", Value: []byte("new"), Revision: revision.Revision{Count: 4}}}, revision.Revision{Count: 5})
 	assert.Eventually(t, func() bool {
-		return cut.catalog.Revision() == (revision.Revision{Count: 5}) && cut.loads.View(time.Now(), "engine").KV == 11000
+		return isolated.catalog.Revision() == (revision.Revision{Count: 5}) && isolated.loads.View(time.Now(), "engine").KV == 11000
 	}, 5*time.Second, 10*time.Millisecond)
-	assert.Zero(t, reader.catalog.Revision(), "one that reads the store itself asks nobody")
+	assert.Zero(t, reader.catalog.Revision(), "an entry that reads the store asks nobody")
 }
 
-// TestReaderOfDataCentre: changes stop coming when the one entry that reads for
-// the others dies. The next one takes over within a second.
-func TestReaderOfDataCentre(t *testing.T) {
+// TestReaderFailover guards against changes that no longer arrive when the reader of a data
+// centre dies. The next entry takes over within a second.
+func TestReaderFailover(t *testing.T) {
 	m := gossip.NewMembers("b", "dc-1", nil)
-	m.Hear(at(0), "a", "dc-1")
-	m.Hear(at(0), "0", "dc-2")
-	m.Hear(at(0), "c", "dc-1")
+	m.Observe(at(0), "a", "dc-1")
+	m.Observe(at(0), "0", "dc-2")
+	m.Observe(at(0), "c", "dc-1")
 	assert.Equal(t, "a", m.Reader(at(0)))
 	assert.Equal(t, "b", m.Reader(at(900*time.Millisecond)))
 }
 
-// pair returns two nodes that are set up and then serve until the test ends.
+// pair returns two nodes that are configured by setUp and then serve until the test ends.
 func pair(t *testing.T, setUp func(i int, n *gossip.Node)) [2]*gossip.Node {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	var lists [2]net.Listener
-	for i := range lists {
+	var listeners [2]net.Listener
+	for i := range listeners {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		lists[i] = ln
+		listeners[i] = ln
 	}
 	var nodes [2]*gossip.Node
-	for i, ln := range lists {
-		other := lists[1-i].Addr().String()
+	for i, ln := range listeners {
+		other := listeners[1-i].Addr().String()
 		nodes[i] = gossip.NewNode(gossip.Self{Addr: ln.Addr().String(), DataCentre: "dc"}, []string{other}, router.NewLoads(), catalog.New(), event.Nop(), nil)
 		setUp(i, nodes[i])
 	}
 	for i, n := range nodes {
-		go func() { _ = n.Serve(ctx, lists[i]) }()
+		go func() { _ = n.Serve(ctx, listeners[i]) }()
 	}
 	return nodes
 }
 
-// TestCrashRatesAreTold: a storm of crashes is told to an entry that starts when it is over,
-// which must judge it by the rate of the storm.
-func TestCrashRatesAreTold(t *testing.T) {
+// TestCrashRatesAreReported guards against an entry that starts after a burst of crashes and,
+// without their rate, misjudges them.
+func TestCrashRatesAreReported(t *testing.T) {
 	const content = 7
-	var told []poison.Word
+	var sent []poison.Word
 	nodes := pair(t, func(i int, n *gossip.Node) {
 		n.Crashes.SetEndpoints([]string{"a", "b", "c"})
 		if i > 0 {
@@ -216,28 +217,29 @@
 		for _, endpoint := range []string{"x", "y"} {
 			n.Crashes.Crashed(time.Now(), content, poison.Attempt{Endpoint: endpoint})
 		}
-		told, _ = n.Crashes.News(time.Now(), 0)
+		sent, _ = n.Crashes.News(time.Now(), 0)
 	})
-	var heard []poison.Word
+	var received []poison.Word
 	require.Eventually(t, func() bool {
-		heard, _ = nodes[1].Crashes.News(time.Now(), 0)
-		return len(heard) == len(told)
+		received, _ = nodes[1].Crashes.News(time.Now(), 0)
+		return len(received) == len(sent)
 	}, 5*time.Second, 10*time.Millisecond)
-	for i := range told {
-		assert.Positive(t, told[i].Rate)
-		assert.Equal(t, told[i].Rate, heard[i].Rate)
+	for i := range sent {
+		assert.Positive(t, sent[i].Rate)
+		assert.Equal(t, sent[i].Rate, received[i].Rate)
 	}
 }
 
-// TestUseIsTold: a workspace uses up its limit at one entry, and goes on at the next.
-func TestUseIsTold(t *testing.T) {
+// TestUseIsReported guards against a workspace that uses up its limit at one entry and
+// continues at the next.
+func TestUseIsReported(t *testing.T) {
 	workspace := quota.NewID("w")
 	nodes := pair(t, func(_ int, n *gossip.Node) {
 		n.Quotas = quota.NewLedger(quota.Settings{})
 		n.Quotas.SetLimits(map[quota.ID]quota.Limit{workspace: {Rate: 1, Burst: 1000}})
 		n.Entries = n.Quotas.SetEntries
 	})
-	take := func(n *gossip.Node, tokens int) quota.Verdict { return n.Quotas.Take(time.Now(), workspace, tokens) }
+	take := func(n *gossip.Node, tokens int) quota.Decision { return n.Quotas.Take(time.Now(), workspace, tokens) }
 	for _, n := range nodes {
 		require.Eventually(t, func() bool { return take(n, 0).OK }, 5*time.Second, 10*time.Millisecond)
 	}
@@ -247,9 +249,10 @@
 	require.Eventually(t, func() bool { return !take(nodes[1], 0).OK }, 2*time.Second, 10*time.Millisecond)
 }
 
-// TestLimitsAreTold: an endpoint names a limit to one entry, and others go on sending to it
-// until it has told each of them; or they keep to it when it is over.
-func TestLimitsAreTold(t *testing.T) {
+// TestEndpointLimitsAreReported guards against an endpoint that has advertised a limit to one
+// entry and is overloaded by the others, and against entries that keep to a limit after it is
+// lifted.
+func TestEndpointLimitsAreReported(t *testing.T) {
 	endpoint := quota.EndpointID("e")
 	nodes := pair(t, func(_ int, n *gossip.Node) {
 		n.Quotas = quota.NewLedger(quota.Settings{})
@@ -264,17 +267,17 @@
 	require.Eventually(t, func() bool { return !limited(nodes[1]) }, 5*time.Second, 10*time.Millisecond)
 }
 
-// formerVersion is an entry of a version that knows no eras: it takes the counts of a new one for
-// old, and tells its own counts only.
+// formerVersion is an entry of a version without eras: it takes the counts of a new era for
+// old ones, and reports only its own counts.
 type formerVersion struct {
 	addr string
-	// answers counts what it was told of the store.
+	// answers counts the replies that contained published entries.
 	answers atomic.Int32
 }
 
-// startFormer starts one that tells an old configuration to all who ask, and asks node for what is
-// published.
-func startFormer(t *testing.T, node string) *formerVersion {
+// startFormerVersion starts an entry that sends an old configuration to all who ask, and asks
+// node for published entries.
+func startFormerVersion(t *testing.T, node string) *formerVersion {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
@@ -302,17 +305,18 @@
 	return f
 }
 
-// TestFormerVersionAfterACopy: in a roll, the store comes back from a copy. Entries of the former
-// version bring what they knew before in force again, or fill the network with questions whose
-// answers they can't use.
-func TestFormerVersionAfterACopy(t *testing.T) {
+// TestFormerVersionAfterRestore guards against a failure during a rolling upgrade in which
+// the store is restored from a backup. Entries of the former version must neither bring their
+// old configuration into force again nor fill the network with questions whose answers they
+// can't use.
+func TestFormerVersionAfterRestore(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	n, addr := startNode(t, ctx, true)
-	n.node.Heard = func(time.Duration) { t.Error("what a former version knows counts as fresh") }
+	n.node.Heard = func(time.Duration) { t.Error("knowledge of a former version counted as fresh") }
 	era := revision.Revision{Era: 2, Count: 9}
 	n.catalog.Merge(time.Now(), []catalog.Entry{{Key: "op/config", Value: []byte("new"), Revision: era}}, era)
-	former := startFormer(t, addr)
+	former := startFormerVersion(t, addr)
 	time.Sleep(1500 * time.Millisecond)
 	got, _ := n.catalog.Get("op/config")
 	assert.Equal(t, "new", string(got.Value))
--- a/gossip/link.go
+++ b/gossip/link.go
@@ -13,150 +13,149 @@
 )
 
 const (
-	// silentFor is how long a connection may bring no reply before it is
-	// replaced.
-	//
-	// A connection goes silent for good while new
-	// ones work. It shows as entries that overload the same engines. The
-	// guard holds because each report is answered.
-	silentFor = 1200 * time.Millisecond
-	// dialTimeout and redialPause bound attempts to reach an entry. The first startDials are
-	// shorter, and pauses double, because one that is just starting answers soon.
+	// silenceTimeout is how long a connection may bring no reply before it is replaced. Every
+	// report is answered, so silence means that the connection is dead. Without the timeout
+	// an entry would miss the work of others and overload the engines that they use.
+	silenceTimeout = 1200 * time.Millisecond
+	// dialTimeout and redialPause bound the attempts to reach an entry. The first startDials
+	// attempts time out sooner and their pauses double, because an entry that is just
+	// starting answers soon.
 	dialTimeout      = 500 * time.Millisecond
 	redialPause      = 500 * time.Millisecond
 	startDials       = 4
 	startDialTimeout = 200 * time.Millisecond
 	startRedialPause = 50 * time.Millisecond
-	// membersInterval is the pause between two looks at who lives, startInterval that
-	// while newcomers are heard.
-	membersInterval = 250 * time.Millisecond
-	startInterval   = 100 * time.Millisecond
+	// linkCheckInterval is the pause between two checks of which entries are alive,
+	// newcomerLinkCheckInterval the pause while there are newcomers.
+	linkCheckInterval         = 250 * time.Millisecond
+	newcomerLinkCheckInterval = 100 * time.Millisecond
 )
 
-// link is the way to one entry that is reported to; Node.mu guards it.
+// link is the connection to one entry that gets reports; Node.mu guards it.
 type link struct {
-	addr string
-	end  context.CancelFunc
-	// conn is nil while there is none.
+	addr   string
+	cancel context.CancelFunc
+	// conn is nil while disconnected.
 	conn *wire.Conn
-	// sent is when the last report went on conn, and told when the work in it had
-	// changed; both are zero before the first.
-	sent, told time.Time
-	// named is when a report on conn last named the members.
-	named time.Time
-	// used is when a report on conn last told the use of workspaces.
-	used time.Time
-	// crashes is the number up to which the news of crashes went on conn.
-	crashes uint64
+	// sent is when the last report was sent on conn, workSent when the work in it had last
+	// changed; both are zero before the first report.
+	sent, workSent time.Time
+	// membersSent is when a report on conn last listed members.
+	membersSent time.Time
+	// useSent is when a report on conn last contained the use of workspaces.
+	useSent time.Time
+	// crashSeq is the sequence number up to which crash updates were sent on conn.
+	crashSeq uint64
 }
 
-// manage keeps a link to each target.
-func (n *Node) manage(ctx context.Context) error {
+// manageLinks keeps a link to each target until ctx ends.
+func (n *Node) manageLinks(ctx context.Context) error {
 	for {
-		for _, addr := range n.manageOnce(ctx, time.Now()) {
+		for _, addr := range n.checkLinks(ctx, time.Now()) {
 			n.log.Emit(event.EntryLost, zap.String("peer", addr))
 		}
-		if !ebonypulley.Sleep(ctx, n.lookPause(time.Now())) {
+		if !ebonypulley.Sleep(ctx, n.linkCheckPause(time.Now())) {
 			return nil
 		}
 	}
 }
 
-// lookPause is the pause until the next look at who lives.
-func (n *Node) lookPause(now time.Time) time.Duration {
+// linkCheckPause returns the pause until the next check of which entries are alive.
+func (n *Node) linkCheckPause(now time.Time) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if now.Sub(n.members.Newest()) <= newcomerFor {
-		return startInterval
+	if now.Sub(n.members.LastJoin()) <= newcomerPeriod {
+		return newcomerLinkCheckInterval
 	}
-	return membersInterval
+	return linkCheckInterval
 }
 
-// manageOnce returns the entries that have fallen silent.
-func (n *Node) manageOnce(ctx context.Context, now time.Time) (lost []string) {
+// checkLinks updates the links and the fleet size, and returns the entries that have fallen
+// silent.
+func (n *Node) checkLinks(ctx context.Context, now time.Time) (lost []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	lost = n.members.Lost(now)
-	n.link(ctx, n.members.Targets(now))
+	lost = n.members.ExpireSilent(now)
+	n.reconcileLinks(ctx, n.members.Targets(now))
 	for _, addr := range lost {
 		delete(n.revisions, addr)
 	}
-	if len(n.members.Living(now)) > 0 || len(n.members.seeds) == 0 {
-		most, _ := n.members.Most(now)
+	if len(n.members.Alive(now)) > 0 || len(n.members.seeds) == 0 {
+		most, _ := n.members.MaxEntries(now)
 		n.Entries(most)
 	}
 	return lost
 }
 
-// link starts and ends links so that there is one to each target; n.mu is
-// held.
-func (n *Node) link(ctx context.Context, targets []string) {
+// reconcileLinks starts and ends links so that there is one to each target. The caller holds
+// n.mu.
+func (n *Node) reconcileLinks(ctx context.Context, targets []string) {
 	wanted := make(map[string]bool, len(targets))
 	for _, addr := range targets {
 		wanted[addr] = true
 		if n.links[addr] == nil {
 			lctx, cancel := context.WithCancel(ctx)
-			l := &link{addr: addr, end: cancel}
+			l := &link{addr: addr, cancel: cancel}
 			n.links[addr] = l
-			go n.keep(lctx, l)
+			go n.maintainLink(lctx, l)
 		}
 	}
 	for addr, l := range n.links {
 		if !wanted[addr] {
-			l.end()
+			l.cancel()
 			delete(n.links, addr)
 		}
 	}
 }
 
-// keep holds a connection to one entry until ctx ends, one after another.
-func (n *Node) keep(ctx context.Context, l *link) {
+// maintainLink keeps a connection to one entry, redialing as needed, until ctx ends.
+func (n *Node) maintainLink(ctx context.Context, l *link) {
 	for failed := 0; ctx.Err() == nil; failed++ {
-		dctx, cancel := context.WithTimeout(ctx, dialPatience(failed))
+		dctx, cancel := context.WithTimeout(ctx, dialTimeoutAfter(failed))
 		nc, err := n.dial(dctx, "tcp", l.addr)
 		cancel()
-		if err == nil && n.converse(ctx, l, nc) >= redialPause {
+		if err == nil && n.readReplies(ctx, l, nc) >= redialPause {
 			failed = 0
 		}
 		ebonypulley.Sleep(ctx, min(startRedialPause<<min(failed, startDials), redialPause))
 	}
 }
 
-// dialPatience is how long an attempt may take after so many that failed.
-func dialPatience(failed int) time.Duration {
+// dialTimeoutAfter returns the timeout of an attempt that follows a number of failed ones.
+func dialTimeoutAfter(failed int) time.Duration {
 	if failed < startDials {
 		return startDialTimeout
 	}
 	return dialTimeout
 }
 
-// converse takes the replies of one connection until it ends, and returns how long that was;
-// reports are sent by tell.
-func (n *Node) converse(ctx context.Context, l *link, nc net.Conn) time.Duration {
+// readReplies handles the replies on one connection until it ends, and returns how long that
+// took; sendReports sends the reports.
+func (n *Node) readReplies(ctx context.Context, l *link, nc net.Conn) time.Duration {
 	began := time.Now()
 	c := wire.NewConn(nc)
-	n.attach(l, c)
-	defer n.attach(l, nil)
-	// The end of the connection needs no log line: losing the entry has one.
+	n.setConn(l, c)
+	defer n.setConn(l, nil)
+	// The end of the connection is not logged: the loss of the entry is.
 	_ = c.Serve(ctx, func(m wire.Message) {
 		switch m := m.(type) {
 		case *wire.Reply:
-			n.hear(time.Now(), l.addr, m.DataCentre, Way{Link: m.Link, NoStore: m.NoStore}, membersOf(m.Members, m.Centres, m.Links))
-			n.hearMost(time.Now(), m.Most, m.MostAge, m.Counted)
-			n.heardRevision(l.addr, m.At())
-			n.takePublished(l.addr, m, c)
+			n.observe(time.Now(), l.addr, m.DataCentre, StoreAccess{LinkMbps: m.Link, NoStore: m.NoStore}, membersOf(m.Members, m.Centres, m.Links))
+			n.learnMaxEntries(time.Now(), m.Most, m.MostAge, m.Counted)
+			n.recordRevision(l.addr, m.At())
+			n.handlePublished(l.addr, m, c)
 		case *wire.Parts:
-			n.takeParts(l.addr, m, c)
+			n.handleParts(l.addr, m, c)
 		}
 	})
 	return time.Since(began)
 }
 
-// attach sets the connection of a link, on which nothing was sent yet.
-func (n *Node) attach(l *link, c *wire.Conn) {
+// setConn sets the connection of a link, on which nothing has been sent yet.
+func (n *Node) setConn(l *link, c *wire.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l.conn = c
-	l.sent, l.told, l.named, l.used = time.Time{}, time.Time{}, time.Time{}, time.Time{}
-	l.crashes = 0
+	l.sent, l.workSent, l.membersSent, l.useSent = time.Time{}, time.Time{}, time.Time{}, time.Time{}
+	l.crashSeq = 0
 }
--- a/gossip/members.go
+++ b/gossip/members.go
@@ -1,10 +1,10 @@
-// Package gossip lets the entries of a fleet tell each other what only they
-// know: that they live, the work that each has under way at every endpoint,
-// and, to one that can't read the platform, what is published.
+// Package gossip exchanges state between the entries of a fleet: which entries are alive, the
+// work that each has in progress at every endpoint, the use of limits, and, for an entry that
+// can't read the store, the published entries.
 //
-// Each report is whole and replaces the one before, so that none has to
-// arrive. Nothing is agreed upon: a wrong or old report costs a worse choice,
-// never a broken promise.
+// Each report contains the sender's whole state and replaces the one before, so that reports
+// may be lost. There is no consensus: a wrong or stale report leads to a worse routing
+// decision, but breaks no guarantee.
 package gossip
 
 import (
@@ -17,66 +17,66 @@
 )
 
 const (
-	// heardFor is how long an entry counts as living after its last report.
-	heardFor = 3 * time.Second
-	// knownFor is how long an address that nobody names is tried without an answer
-	// before it is forgotten, unless it is a seed. It is several times what passes between
-	// two words of an entry in a fleet of a thousand.
-	knownFor = 30 * time.Second
-	// maxPeers bounds the entries that one entry reports to, by what connections
-	// take: both ways 60 kB each, 6 MB of the 32 MB that control may take.
+	// aliveTimeout is how long an entry counts as alive after its last report or reply.
+	aliveTimeout = 3 * time.Second
+	// forgetTimeout is how long an address that no entry mentions is dialed without an answer
+	// before it is forgotten, unless it is a seed. It is several times the gap between two
+	// mentions of an entry in a fleet of a thousand.
+	forgetTimeout = 30 * time.Second
+	// maxPeers bounds the entries that one entry reports to. Connections in both directions
+	// take 60 kB each, together 6 MB of the 32 MB that control traffic may take.
 	maxPeers = 96
-	// farPeers are those of them that are kept for other data centres, so that links
-	// between data centres carry a part of the reports that does not grow with the fleet.
-	farPeers = maxPeers / 4
-	// readerPeers are the entries of this one's data centre that come first as readers.
-	// All there report to them, so that all agree on the reader.
-	readerPeers = 3
-	// newcomerFor is how long an entry that was not heard before is named first.
-	newcomerFor = 3 * time.Second
-	// newcomersNamed bounds the newcomers in one list of names.
-	newcomersNamed = 16
+	// remotePeers is the number of them reserved for other data centres, so that the reports
+	// between data centres do not grow with the fleet.
+	remotePeers = maxPeers / 4
+	// readerCandidates is the number of entries that are first in line to read the store for
+	// a data centre. All entries there report to them, so that all agree on the reader.
+	readerCandidates = 3
+	// newcomerPeriod is how long an entry that has just become alive is listed before others.
+	newcomerPeriod = 3 * time.Second
+	// maxNewcomersListed bounds the newcomers in one list of members.
+	maxNewcomersListed = 16
 )
 
-// Members is what one entry knows of the others. It does no I/O and is not
-// safe for concurrent use.
+// Members is one entry's view of the other entries. It does no I/O and is not safe for
+// concurrent use.
 type Members struct {
 	self       string
 	dataCentre string
 	seeds      map[string]bool
-	// where holds the data centres of known entries.
-	where map[string]string
-	// ways holds what entries say of their way to the platform, links what is known of
-	// their links, also by hearsay.
-	ways  map[string]Way
-	links map[string]float64
-	// heard holds when each was last heard directly, since from when on without a
-	// pause, and known when anybody last named it.
-	heard map[string]time.Time
-	since map[string]time.Time
-	known map[string]time.Time
-	// named is the last of the names that were told in turn.
-	named string
-	// peak is the most entries that ever lived, this one included; firstSince
-	// is when this entry became the one to lead.
-	peak       int
-	firstSince time.Time
-	// most is the most entries that anybody named, and mostAt when.
-	most   int
-	mostAt time.Time
+	// dataCentres holds the data centre of each known entry.
+	dataCentres map[string]string
+	// access holds what entries reported about their own access to the store, links the link
+	// capacities in Mbit/s, including those learned from third parties.
+	access map[string]StoreAccess
+	links  map[string]float64
+	// lastSeen holds when each entry was last heard directly, aliveSince since when it has
+	// been alive without a gap, and lastMentioned when any entry last mentioned it.
+	lastSeen      map[string]time.Time
+	aliveSince    map[string]time.Time
+	lastMentioned map[string]time.Time
+	// listCursor is the last address in the last list of members.
+	listCursor string
+	// peakAlive is the most entries that were ever alive at a time, this one included;
+	// lowestSince is when this entry became the one with the lowest address.
+	peakAlive   int
+	lowestSince time.Time
+	// maxEntries is the largest fleet size known, and maxEntriesAt when it was seen.
+	maxEntries   int
+	maxEntriesAt time.Time
 }
 
-// NewMembers returns what an entry knows at its start.
+// NewMembers returns the view of an entry that has just started.
 func NewMembers(self, dataCentre string, seeds []string) *Members {
 	m := &Members{
-		self: self, dataCentre: dataCentre, where: make(map[string]string), ways: make(map[string]Way), links: make(map[string]float64),
-		heard: make(map[string]time.Time), since: make(map[string]time.Time), known: make(map[string]time.Time),
+		self: self, dataCentre: dataCentre, dataCentres: make(map[string]string), access: make(map[string]StoreAccess), links: make(map[string]float64),
+		lastSeen: make(map[string]time.Time), aliveSince: make(map[string]time.Time), lastMentioned: make(map[string]time.Time),
 	}
 	m.SetSeeds(seeds)
 	return m
 }
 
-// SetSeeds changes the entries that are contacted at any time.
+// SetSeeds replaces the entries that are always contacted.
 func (m *Members) SetSeeds(seeds []string) {
 	m.seeds = make(map[string]bool, len(seeds))
 	for _, s := range seeds {
@@ -86,96 +86,96 @@
 	}
 }
 
-// Hear records a report or a reply from an entry; it returns whether the
-// entry was not counted as living before.
-func (m *Members) Hear(now time.Time, addr, dataCentre string) (fresh bool) {
+// Observe records a report or a reply from an entry, and reports whether the entry was not
+// alive before.
+func (m *Members) Observe(now time.Time, addr, dataCentre string) (joined bool) {
 	if addr == m.self {
 		return false
 	}
-	m.where[addr] = dataCentre
-	last, ok := m.heard[addr]
-	fresh = !ok || now.Sub(last) > heardFor
-	if fresh {
-		m.since[addr] = now
+	m.dataCentres[addr] = dataCentre
+	last, ok := m.lastSeen[addr]
+	joined = !ok || now.Sub(last) > aliveTimeout
+	if joined {
+		m.aliveSince[addr] = now
 	}
-	m.heard[addr] = now
-	m.known[addr] = now
-	return fresh
+	m.lastSeen[addr] = now
+	m.lastMentioned[addr] = now
+	return joined
 }
 
-// Way is what an entry says of its way to the platform.
-type Way struct {
-	// Link is the capacity of its own link in Mbit/s, 0 if unknown.
-	Link float64
-	// NoStore says that its last read of the platform failed.
+// StoreAccess is what an entry reports about its own access to the store.
+type StoreAccess struct {
+	// LinkMbps is the capacity of the entry's own link, 0 if unknown.
+	LinkMbps float64
+	// NoStore says that its last read of the store failed.
 	NoStore bool
 }
 
-// SetWay records the way of an entry, this one's included.
-func (m *Members) SetWay(addr string, w Way) {
-	m.ways[addr] = w
-	m.links[addr] = w.Link
+// SetStoreAccess records the access of an entry, possibly this one.
+func (m *Members) SetStoreAccess(addr string, access StoreAccess) {
+	m.access[addr] = access
+	m.links[addr] = access.LinkMbps
 }
 
-// Link returns the capacity of an entry's own link in Mbit/s, 0 if unknown.
-func (m *Members) Link(addr string) float64 { return m.ways[addr].Link }
+// LinkMbps returns the capacity of an entry's own link, 0 if unknown.
+func (m *Members) LinkMbps(addr string) float64 { return m.access[addr].LinkMbps }
 
-// Member is an entry as another one names it.
+// Member is an entry as listed by another one.
 type Member struct {
 	Addr string
-	// DataCentre is empty and Link zero if they are unknown.
+	// DataCentre is empty and LinkMbps zero if they are unknown.
 	DataCentre string
-	Link       float64
+	LinkMbps   float64
 }
 
-// Learn records entries that another one named.
+// Learn records entries that another entry listed.
 func (m *Members) Learn(now time.Time, members []Member) {
 	for _, e := range members {
 		if e.Addr == m.self {
 			continue
 		}
-		m.known[e.Addr] = now
-		if _, heard := m.heard[e.Addr]; heard {
-			continue // its own word counts
+		m.lastMentioned[e.Addr] = now
+		if _, heard := m.lastSeen[e.Addr]; heard {
+			continue // its own report takes precedence
 		}
 		if e.DataCentre != "" {
-			m.where[e.Addr], m.links[e.Addr] = e.DataCentre, e.Link
+			m.dataCentres[e.Addr], m.links[e.Addr] = e.DataCentre, e.LinkMbps
 		}
 	}
 }
 
-// Named returns so many of the entries heard lately to tell others: the lowest address, which
-// leads, newcomers, and the others in turn.
-func (m *Members) Named(now time.Time, most int) []Member {
-	living := m.Living(now)
-	if len(living) == 0 {
+// MembersToList returns up to limit alive entries to list in a report: the lowest address,
+// which is the leader's, newcomers, and the others in turn.
+func (m *Members) MembersToList(now time.Time, limit int) []Member {
+	alive := m.Alive(now)
+	if len(alive) == 0 {
 		return nil
 	}
-	picked := []string{living[0]}
-	newcomers := slices.DeleteFunc(slices.Clone(living), func(a string) bool { return now.Sub(m.since[a]) > newcomerFor })
-	picked = append(picked, m.inTurn(newcomers, min(newcomersNamed, most-1))...)
-	picked = append(picked, m.inTurn(living, most-len(picked))...)
-	m.named = picked[len(picked)-1]
+	picked := []string{alive[0]}
+	newcomers := slices.DeleteFunc(slices.Clone(alive), func(a string) bool { return now.Sub(m.aliveSince[a]) > newcomerPeriod })
+	picked = append(picked, m.roundRobin(newcomers, min(maxNewcomersListed, limit-1))...)
+	picked = append(picked, m.roundRobin(alive, limit-len(picked))...)
+	m.listCursor = picked[len(picked)-1]
 	slices.Sort(picked)
 	var list []Member
 	for _, a := range slices.Compact(picked) {
-		list = append(list, Member{Addr: a, DataCentre: m.where[a], Link: m.links[a]})
+		list = append(list, Member{Addr: a, DataCentre: m.dataCentres[a], LinkMbps: m.links[a]})
 	}
 	return list
 }
 
-// inTurn returns so many of a sorted list, those behind the last that were told first.
-func (m *Members) inTurn(list []string, most int) []string {
-	if most <= 0 || len(list) <= most {
-		return list[:max(min(most, len(list)), 0)]
+// roundRobin returns up to limit elements of a sorted list, beginning behind listCursor.
+func (m *Members) roundRobin(list []string, limit int) []string {
+	if limit <= 0 || len(list) <= limit {
+		return list[:max(min(limit, len(list)), 0)]
 	}
-	from, _ := slices.BinarySearch(list, m.named+"\x00")
-	return append(slices.Clone(list[from:]), list[:from]...)[:most]
+	from, _ := slices.BinarySearch(list, m.listCursor+"\x00")
+	return append(slices.Clone(list[from:]), list[:from]...)[:limit]
 }
 
-// Newest returns when the last newcomer was first heard.
-func (m *Members) Newest() (newest time.Time) {
-	for _, at := range m.since {
+// LastJoin returns when the last newcomer was first heard.
+func (m *Members) LastJoin() (newest time.Time) {
+	for _, at := range m.aliveSince {
 		if at.After(newest) {
 			newest = at
 		}
@@ -183,11 +183,11 @@
 	return newest
 }
 
-// Living returns the entries heard lately, without this one, sorted.
-func (m *Members) Living(now time.Time) []string {
+// Alive returns the other entries that are alive, sorted.
+func (m *Members) Alive(now time.Time) []string {
 	var list []string
-	for a, at := range m.heard {
-		if now.Sub(at) <= heardFor {
+	for a, at := range m.lastSeen {
+		if now.Sub(at) <= aliveTimeout {
 			list = append(list, a)
 		}
 	}
@@ -195,32 +195,31 @@
 	return list
 }
 
-// readerFor is how long after its last word an entry still counts as the
-// reader of its data centre.
-const readerFor = 800 * time.Millisecond
+// readerTimeout is how long after its last report an entry still counts as the reader of its
+// data centre.
+const readerTimeout = 800 * time.Millisecond
 
-// Reader returns the entry that reads the platform for this one's data centre:
-// one there that reaches it, of these the one with the widest link, then the
-// lowest address. Two readers at a time do no harm, and without one each entry
-// reads itself.
+// Reader returns the entry that reads the store for this one's data centre: one there that
+// reaches the store, of these the one with the widest link, then the lowest address. Two
+// readers at a time do no harm; without one each entry reads the store itself.
 //
-// Hundreds of entries watch the store, each heartbeat
-// of a worker ends every watch, and reads grow with the square of the fleet. The
-// store sends a configuration whole, 1.3 MB for 4,240 routes, which takes 1.1 s
-// of a link of 10 Mbit/s and 0.05 s of one of 200.
+// A single reader bounds the load of the store. If hundreds of entries watched it, each
+// heartbeat of a worker would end every watch, and reads would grow with the square of the
+// fleet. The store sends a configuration whole: 1.3 MB for 4,240 routes, which takes 1.1 s on
+// a 10 Mbit/s link and 0.05 s on a 200 Mbit/s link.
 func (m *Members) Reader(now time.Time) string {
 	reader := m.self
-	for a, at := range m.heard {
-		if m.where[a] == m.dataCentre && now.Sub(at) <= readerFor && m.before(a, reader) < 0 {
+	for a, at := range m.lastSeen {
+		if m.dataCentres[a] == m.dataCentre && now.Sub(at) <= readerTimeout && m.compareReaders(a, reader) < 0 {
 			reader = a
 		}
 	}
 	return reader
 }
 
-// before orders entries by who reads first.
-func (m *Members) before(a, b string) int {
-	wa, wb := m.ways[a], m.ways[b]
+// compareReaders orders entries by their precedence as reader.
+func (m *Members) compareReaders(a, b string) int {
+	wa, wb := m.access[a], m.access[b]
 	if wa.NoStore != wb.NoStore {
 		if wa.NoStore {
 			return 1
@@ -230,66 +229,66 @@
 	return cmp.Or(cmp.Compare(m.links[b], m.links[a]), cmp.Compare(a, b))
 }
 
-// leadFor is how long an entry must have been the first of all it knows before
-// it leads: longer than the time in which two holders of orders may not take
-// turns.
-const leadFor = 3 * time.Second
+// leadDelay is how long an entry must have had the lowest address it knows before it leads.
+// It is longer than the time for which two leaders must not alternate.
+const leadDelay = 3 * time.Second
 
-// Leads reports whether this entry is the one that gives orders: the lowest
-// address of all that anybody heard lately. It is asked again and again.
+// IsLeader reports whether this entry gives orders: it has the lowest address of all that any
+// entry mentioned lately. It has to be called regularly.
 //
-// Entries that are cut off from each other order the
-// same engine in turns. The guard holds because an entry leads only while it
-// hears most of those that it heard before, at least one seed's if there are
-// seeds, and has been first for a while.
-func (m *Members) Leads(now time.Time) bool {
-	living := len(m.Living(now)) + 1
-	m.peak = max(m.peak, living)
-	if !m.first(now) || 2*living <= m.peak || len(m.seeds) > 0 && living == 1 {
-		m.firstSince = time.Time{}
+// Entries that are partitioned from each other must not both give orders to an engine. An
+// entry leads only while most of the entries that it has seen alive at a time are alive,
+// while it hears at least one other entry if there are seeds, and after it has had the lowest
+// address for leadDelay.
+func (m *Members) IsLeader(now time.Time) bool {
+	alive := len(m.Alive(now)) + 1
+	m.peakAlive = max(m.peakAlive, alive)
+	if !m.isLowest(now) || 2*alive <= m.peakAlive || len(m.seeds) > 0 && alive == 1 {
+		m.lowestSince = time.Time{}
 		return false
 	}
-	if m.firstSince.IsZero() {
-		m.firstSince = now
+	if m.lowestSince.IsZero() {
+		m.lowestSince = now
 	}
-	return now.Sub(m.firstSince) >= leadFor
+	return now.Sub(m.lowestSince) >= leadDelay
 }
 
-// first reports whether no lower address was heard lately, by anybody.
-func (m *Members) first(now time.Time) bool {
-	for a, at := range m.known {
-		if a < m.self && now.Sub(at) <= 2*heardFor {
+// isLowest reports whether no entry mentioned a lower address lately.
+func (m *Members) isLowest(now time.Time) bool {
+	for a, at := range m.lastMentioned {
+		if a < m.self && now.Sub(at) <= 2*aliveTimeout {
 			return false
 		}
 	}
 	return true
 }
 
-// Lost returns the entries that have fallen silent since the last call.
-func (m *Members) Lost(now time.Time) []string {
+// ExpireSilent removes the entries that have fallen silent since the last call, and returns
+// them.
+func (m *Members) ExpireSilent(now time.Time) []string {
 	var list []string
-	for a, at := range m.heard {
-		if now.Sub(at) > heardFor {
-			delete(m.heard, a)
-			delete(m.since, a)
-			delete(m.ways, a)
+	for a, at := range m.lastSeen {
+		if now.Sub(at) > aliveTimeout {
+			delete(m.lastSeen, a)
+			delete(m.aliveSince, a)
+			delete(m.access, a)
 			list = append(list, a)
 		}
 	}
 	return list
 }
 
-// Targets returns the addresses to report to, sorted: the seeds and all known ones, or of a
-// large fleet those that may read the platform for this one, most of the others from its own
-// data centre and some from elsewhere.
+// Targets returns the addresses to report to, sorted: the seeds and all known entries, or in
+// a large fleet the reader candidates, most of the others from the own data centre and some
+// from elsewhere.
 //
-// A fleet of more entries than one reports to. If all left
-// out the same ones, nobody would tell these anything: each would read the store
-// itself and choose engines without the work of others. So each entry draws its own.
+// When a fleet is larger than maxPeers, each entry makes its own selection. If all left out
+// the same entries, those would get no reports: each would read the store itself and choose
+// engines without knowing the work of others.
 func (m *Members) Targets(now time.Time) []string {
-	list := m.all(now)
+	list := m.knownAddrs(now)
 	if len(list) > maxPeers {
-		list = m.some(list)
+		list = m.selectPeers(list)
 	}
 	if reader := m.Reader(now); reader != m.self && !slices.Contains(list, reader) {
 		list = append(list, reader)
@@ -298,16 +297,17 @@
 	return list
 }
 
-// all returns the seeds and the known entries, and forgets those that nobody names any more.
-func (m *Members) all(now time.Time) []string {
-	list := make([]string, 0, len(m.seeds)+len(m.known))
+// knownAddrs returns the seeds and the known entries, and forgets those that no entry
+// mentions any more.
+func (m *Members) knownAddrs(now time.Time) []string {
+	list := make([]string, 0, len(m.seeds)+len(m.lastMentioned))
 	for a := range m.seeds {
 		list = append(list, a)
 	}
-	for a, at := range m.known {
-		if now.Sub(at) > knownFor {
-			delete(m.known, a)
-			delete(m.where, a)
+	for a, at := range m.lastMentioned {
+		if now.Sub(at) > forgetTimeout {
+			delete(m.lastMentioned, a)
+			delete(m.dataCentres, a)
 			delete(m.links, a)
 			continue
 		}
@@ -318,30 +318,30 @@
 	return list
 }
 
-// some returns maxPeers of a list.
-func (m *Members) some(list []string) []string {
+// selectPeers returns maxPeers addresses of a list.
+func (m *Members) selectPeers(list []string) []string {
 	var near, far []string
 	for _, a := range list {
-		if m.where[a] == m.dataCentre {
+		if m.dataCentres[a] == m.dataCentre {
 			near = append(near, a)
 		} else {
 			far = append(far, a)
 		}
 	}
-	slices.SortFunc(near, m.before)
-	first := min(readerPeers, len(near))
-	m.draw(near[first:])
-	m.draw(far)
-	keep := max(min(farPeers, len(far)), maxPeers-len(near))
+	slices.SortFunc(near, m.compareReaders)
+	first := min(readerCandidates, len(near))
+	m.sortByPairHash(near[first:])
+	m.sortByPairHash(far)
+	keep := max(min(remotePeers, len(far)), maxPeers-len(near))
 	return append(near[:min(maxPeers-keep, len(near))], far[:min(keep, len(far))]...)
 }
 
-// draw orders addresses by this entry's own chance, which is the same each time, so that links
-// last; seeds come first, because entries that start know only these.
-func (m *Members) draw(list []string) {
+// sortByPairHash orders addresses by their hash with this entry's, which is the same each
+// time, so that links last. Seeds come first, because entries that start know only these.
+func (m *Members) sortByPairHash(list []string) {
 	chances := make(map[string]uint64, len(list))
 	for _, a := range list {
-		chances[a] = m.chance(a)
+		chances[a] = m.pairHash(a)
 	}
 	slices.SortFunc(list, func(a, b string) int {
 		if m.seeds[a] != m.seeds[b] {
@@ -354,34 +354,35 @@
 	})
 }
 
-// chance is a number drawn for a pair of entries; both draw the same one, so that
-// most who report to an entry are also reported to by it.
-func (m *Members) chance(addr string) uint64 {
+// pairHash returns a hash of this entry's address and another one. Both compute the same
+// hash, so that most entries that report to this one also get its reports.
+func (m *Members) pairHash(addr string) uint64 {
 	x := (xxhash.Sum64String(m.self) ^ xxhash.Sum64String(addr)) * 0x9e3779b97f4a7c15
 	return x ^ x>>32
 }
 
-// mostFor is how long the most entries that there were are remembered: longer than any cut
-// that entries are restarted in, and shorter than a fleet takes to shrink for good.
-const mostFor = time.Hour
+// maxEntriesRetention is how long the largest fleet size is remembered: longer than any
+// partition in which entries are restarted, and shorter than a fleet takes to shrink for
+// good.
+const maxEntriesRetention = time.Hour
 
-// Most returns the most entries that anybody named at a time lately, this one included,
-// and how long ago that was.
+// MaxEntries returns the largest fleet size lately, this entry included, and how long ago it
+// was seen.
 //
-// An entry starts while it is cut off with few others. It shows as
-// more repeats than are allowed, because it takes its part of them for one among few. The
-// guard holds because the others there tell it how many there were.
-func (m *Members) Most(now time.Time) (n int, age time.Duration) {
-	count := len(m.known) + 1
-	if count >= m.most || now.Sub(m.mostAt) > mostFor {
-		m.most, m.mostAt = count, now
+// An entry that starts in a small partition must not share the retry budget among the few
+// entries it sees: together with the others, which it can't hear, it would allow too many
+// retries. The entries in its partition tell it how many there were.
+func (m *Members) MaxEntries(now time.Time) (n int, age time.Duration) {
+	count := len(m.lastMentioned) + 1
+	if count >= m.maxEntries || now.Sub(m.maxEntriesAt) > maxEntriesRetention {
+		m.maxEntries, m.maxEntriesAt = count, now
 	}
-	return m.most, now.Sub(m.mostAt)
+	return m.maxEntries, now.Sub(m.maxEntriesAt)
 }
 
-// LearnMost takes what another entry says of the most entries.
-func (m *Members) LearnMost(now time.Time, n int, age time.Duration) {
-	if n > m.most && age >= 0 && age <= mostFor {
-		m.most, m.mostAt = n, now.Add(-age)
+// LearnMaxEntries merges the largest fleet size that another entry reports.
+func (m *Members) LearnMaxEntries(now time.Time, n int, age time.Duration) {
+	if n > m.maxEntries && age >= 0 && age <= maxEntriesRetention {
+		m.maxEntries, m.maxEntriesAt = n, now.Add(-age)
 	}
 }
--- a/gossip/names_test.go
+++ b/gossip/names_test.go
@@ -9,33 +9,33 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// namedFleet is a fleet whose members name each other, without a network.
-type namedFleet struct {
+// simFleet is a fleet whose members list each other, without a network.
+type simFleet struct {
 	members map[string]*Members
 	addrs   []string
-	// links hold when each member last named some to another one, targets whom each reports
-	// to for now.
-	links   map[[2]string]time.Time
-	targets map[string][]string
-	began   map[string]time.Time
-	now     time.Time
-	rounds  int
-	// told counts the names told.
-	told int
-	rnd  *rand.Rand
+	// membersSent holds when each member last listed some to another one, targets the
+	// addresses that each currently reports to.
+	membersSent map[[2]string]time.Time
+	targets     map[string][]string
+	started     map[string]time.Time
+	now         time.Time
+	rounds      int
+	// listed counts the members listed.
+	listed int
+	rnd    *rand.Rand
 }
 
 const (
-	centres    = 2
-	roundTime  = newcomerInterval
-	slowLink   = 20
-	wideLink   = 200
-	wideEvery  = 7
-	seedsNamed = 3
+	centres      = 2
+	roundPause   = newcomerListInterval
+	slowLinkMbps = 20
+	wideLinkMbps = 200
+	wideEvery    = 7
+	seedCount    = 3
 )
 
-func newNamedFleet(entries int) *namedFleet {
-	f := &namedFleet{members: make(map[string]*Members), links: make(map[[2]string]time.Time), targets: make(map[string][]string), began: make(map[string]time.Time), now: time.Unix(1000, 0), rnd: rand.New(rand.NewPCG(1, 2))}
+func newSimFleet(entries int) *simFleet {
+	f := &simFleet{members: make(map[string]*Members), membersSent: make(map[[2]string]time.Time), targets: make(map[string][]string), started: make(map[string]time.Time), now: time.Unix(1000, 0), rnd: rand.New(rand.NewPCG(1, 2))}
 	for range entries {
 		f.join()
 	}
@@ -43,22 +43,22 @@
 }
 
 // join starts one more member.
-func (f *namedFleet) join() string {
+func (f *simFleet) join() string {
 	i := len(f.addrs)
 	addr := fmt.Sprintf("10.%d.%d.%d:8007", i%centres, i/200, i%200)
 	f.addrs = append(f.addrs, addr)
-	m := NewMembers(addr, fmt.Sprint("dc-", i%centres), f.addrs[:min(seedsNamed, len(f.addrs))])
-	link := float64(slowLink)
+	m := NewMembers(addr, fmt.Sprint("dc-", i%centres), f.addrs[:min(seedCount, len(f.addrs))])
+	link := float64(slowLinkMbps)
 	if i%wideEvery == 0 {
-		link = wideLink
+		link = wideLinkMbps
 	}
-	m.SetWay(addr, Way{Link: link})
-	f.members[addr], f.began[addr] = m, f.now
+	m.SetStoreAccess(addr, StoreAccess{LinkMbps: link})
+	f.members[addr], f.started[addr] = m, f.now
 	return addr
 }
 
-// play lets all report to each other for a while, each so often.
-func (f *namedFleet) play(span, pause time.Duration) {
+// run lets all members report to each other for a time span, once per pause.
+func (f *simFleet) run(span, pause time.Duration) {
 	for end := f.now.Add(span); f.now.Before(end); f.now = f.now.Add(pause) {
 		for _, addr := range f.addrs {
 			f.round(f.members[addr])
@@ -68,107 +68,109 @@
 }
 
 // round sends the reports of one member.
-func (f *namedFleet) round(m *Members) {
-	if young := f.now.Sub(f.began[m.self]) < 3*time.Second; young || f.rounds%4 == 0 {
-		m.Lost(f.now)
+func (f *simFleet) round(m *Members) {
+	if young := f.now.Sub(f.started[m.self]) < 3*time.Second; young || f.rounds%4 == 0 {
+		m.ExpireSilent(f.now)
 		f.targets[m.self] = m.Targets(f.now)
 	}
-	newest := m.Newest()
+	newest := m.LastJoin()
 	lists := make(map[int][]Member)
 	for _, to := range f.targets[m.self] {
 		f.report(m, f.members[to], newest, lists)
 	}
 }
 
-// report is one report and its reply; lists holds what the reporter names in this round.
-func (f *namedFleet) report(m, to *Members, newest time.Time, lists map[int][]Member) {
+// report delivers one report and its reply; lists holds what the sender lists in this round.
+func (f *simFleet) report(m, to *Members, newest time.Time, lists map[int][]Member) {
 	key := [2]string{m.self, to.self}
-	l := &link{named: f.links[key]}
-	names := l.names(f.now, newest)
-	if lists[names] == nil && names > 0 {
-		lists[names] = m.Named(f.now, names)
+	l := &link{membersSent: f.membersSent[key]}
+	count := l.membersDue(f.now, newest)
+	if lists[count] == nil && count > 0 {
+		lists[count] = m.MembersToList(f.now, count)
 	}
-	f.hear(to, m, lists[names])
-	if !l.named.IsZero() {
-		f.hear(m, to, nil)
-		if names > 0 {
-			f.links[key] = f.now
+	f.deliver(to, m, lists[count])
+	if !l.membersSent.IsZero() {
+		f.deliver(m, to, nil)
+		if count > 0 {
+			f.membersSent[key] = f.now
 		}
 		return
 	}
-	f.hear(m, to, to.Named(f.now, introductionMost))
-	f.links[key] = f.now.Add(-time.Duration(f.rnd.Int64N(int64(namesInterval)))) // not all at once
+	f.deliver(m, to, to.MembersToList(f.now, maxListedFirst))
+	f.membersSent[key] = f.now.Add(-time.Duration(f.rnd.Int64N(int64(memberListInterval)))) // spread over the interval
 }
 
-// hear lets a member hear another one and what that one names.
-func (f *namedFleet) hear(m, from *Members, named []Member) {
-	m.Hear(f.now, from.self, from.dataCentre)
-	m.SetWay(from.self, from.ways[from.self])
-	m.Learn(f.now, named)
-	f.told += len(named)
+// deliver makes a member hear another one and the members that it lists.
+func (f *simFleet) deliver(m, from *Members, listed []Member) {
+	m.Observe(f.now, from.self, from.dataCentre)
+	m.SetStoreAccess(from.self, from.access[from.self])
+	m.Learn(f.now, listed)
+	f.listed += len(listed)
 }
 
-// knowing counts the members that know an address.
-func (f *namedFleet) knowing(addr string) (n int) {
+// knownBy counts the members that know an address.
+func (f *simFleet) knownBy(addr string) (n int) {
 	for _, a := range f.addrs {
-		if _, ok := f.members[a].known[addr]; ok || a == addr {
+		if _, ok := f.members[a].lastMentioned[addr]; ok || a == addr {
 			n++
 		}
 	}
 	return n
 }
 
-// countedBy is when entries that start together have to know all others: before the window is
-// over in which a new one has no part of the retry slack.
-const countedBy = 9 * time.Second
+// convergenceTime is when entries that start together have to know all others: before the end
+// of the window in which a new entry has no share of the retry slack.
+const convergenceTime = 9 * time.Second
 
-// TestNamesReachAll: entries that start together do not know some of them, one that joins later
-// is not known within three seconds, or some that live are forgotten.
-func TestNamesReachAll(t *testing.T) {
+// TestMemberListsReachAllEntries guards against entries that start together and do not learn
+// of some, an entry that joins later and is not known within three seconds, and live entries
+// that are forgotten.
+func TestMemberListsReachAllEntries(t *testing.T) {
 	for _, entries := range []int{30, 200} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
 			t.Parallel()
-			f := newNamedFleet(entries)
-			f.play(3*time.Second, roundTime)
-			f.play(countedBy-3*time.Second, namesInterval)
+			f := newSimFleet(entries)
+			f.run(3*time.Second, roundPause)
+			f.run(convergenceTime-3*time.Second, memberListInterval)
 			for _, addr := range f.addrs {
-				assert.Equal(t, entries, len(f.members[addr].known)+1, "known to %s of those that started with it", addr)
+				assert.Equal(t, entries, len(f.members[addr].lastMentioned)+1, "entries known to %s", addr)
 			}
 			addr := f.join()
-			f.play(3*time.Second, roundTime)
-			assert.Equal(t, entries+1, f.knowing(addr))
+			f.run(3*time.Second, roundPause)
+			assert.Equal(t, entries+1, f.knownBy(addr))
 		})
 	}
 }
 
-// TestNamesCostAlike: what each entry tells of the others grows with the fleet, or it is too little
-// to keep those known that live.
-func TestNamesCostAlike(t *testing.T) {
-	const most = float64(maxPeers*namesMost) / 1.5 // each namesInterval
+// TestMemberListCostIsBounded guards against a cost of listing members that grows with the
+// fleet, and against lists that are too short to keep live entries known.
+func TestMemberListCostIsBounded(t *testing.T) {
+	const most = float64(maxPeers*maxListed) / 1.5 // each memberListInterval
 	for _, entries := range []int{30, 120} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
 			t.Parallel()
-			f := newNamedFleet(entries)
-			f.play(3*time.Second, roundTime)
-			f.play(2*knownFor, namesInterval)
-			f.told = 0
+			f := newSimFleet(entries)
+			f.run(3*time.Second, roundPause)
+			f.run(2*forgetTimeout, memberListInterval)
+			f.listed = 0
 			const span = 15 * time.Second
-			f.play(span, namesInterval)
-			perSecond := float64(f.told) / span.Seconds() / float64(entries)
-			t.Logf("%d entries: %.0f names a second told by each", entries, perSecond)
+			f.run(span, memberListInterval)
+			perSecond := float64(f.listed) / span.Seconds() / float64(entries)
+			t.Logf("%d entries: each lists %.0f members a second", entries, perSecond)
 			assert.LessOrEqual(t, perSecond, 1.1*most)
 			for _, a := range f.addrs {
-				assert.GreaterOrEqual(t, len(f.members[a].known), entries-1-entries/100, "known to %s", a)
+				assert.GreaterOrEqual(t, len(f.members[a].lastMentioned), entries-1-entries/100, "entries known to %s", a)
 			}
 		})
 	}
 }
 
-// TestLargeDataCentres: a data centre of more entries than one reports to has several that read
-// the store, each for those who hear it; or reports between data centres grow with the fleet.
+// TestLargeDataCentres guards against several readers in a data centre of more entries than
+// one reports to, each for those that hear it, and against reports between data centres that
+// grow with the fleet.
 func TestLargeDataCentres(t *testing.T) {
-	f := newNamedFleet(250)
-	f.play(1500*time.Millisecond, roundTime)
+	f := newSimFleet(250)
+	f.run(1500*time.Millisecond, roundPause)
 	readers := make(map[string]map[string]bool)
 	for _, addr := range f.addrs {
 		m := f.members[addr]
@@ -182,7 +184,7 @@
 				far++
 			}
 		}
-		assert.InDelta(t, farPeers, far, seedsNamed, addr)
+		assert.InDelta(t, remotePeers, far, seedCount, addr)
 	}
 	for centre, list := range readers {
 		assert.Len(t, list, 1, centre)
--- a/gossip/published.go
+++ b/gossip/published.go
@@ -11,97 +11,99 @@
 	"ebonypulley/wire"
 )
 
-// Receiving reports whether published values are on their way from another
-// entry, so that reading them from the platform too would only slow both down.
+// Receiving reports whether published values are being fetched from another entry. Reading
+// them from the store at the same time would only slow both down.
 func (n *Node) Receiving() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.fetch.alive(time.Now())
+	return n.fetch.active(time.Now())
 }
 
-// Expects reports whether others may still tell this entry, which has waited for some time since
-// it began to list.
-func (n *Node) Expects(waited time.Duration) bool { return expects(waited, n.Reads()) }
+// Expects reports whether to wait for published entries from others rather than list the
+// store, waited after this entry began to wait.
+func (n *Node) Expects(waited time.Duration) bool { return shouldWait(waited, n.Reads()) }
 
-// Reads reports whether this entry reads the platform for its data centre.
+// Reads reports whether this entry reads the store for its data centre.
 func (n *Node) Reads() bool { return n.reader(time.Now()) == n.self.Addr }
 
-// reader returns the entry that reads the platform for this one's data centre.
+// reader returns the entry that reads the store for this one's data centre.
 func (n *Node) reader(now time.Time) string {
-	own := Way{Link: n.self.Link, NoStore: n.NoStore()}
+	own := StoreAccess{LinkMbps: n.self.Link, NoStore: n.NoStore()}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.members.SetWay(n.self.Addr, own)
+	n.members.SetStoreAccess(n.self.Addr, own)
 	return n.members.Reader(now)
 }
 
-// asked returns the entry that is to hand on what is published, empty for none.
-func (n *Node) asked(now time.Time) string {
+// sourceToAsk returns the entry to ask for published entries, empty for none.
+func (n *Node) sourceToAsk(now time.Time) string {
 	behind, reader := n.Behind(), n.reader(now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.fetch.alive(now) {
+	if n.fetch.active(now) {
 		return ""
 	}
 	return n.source.Choose(now, reader, behind, func() []Candidate { return n.candidates(now) })
 }
 
-// candidates returns the living entries; n.mu is held.
+// candidates returns the entries that are alive. The caller holds n.mu.
 func (n *Node) candidates(now time.Time) []Candidate {
 	own := n.catalog.Revision()
-	living := n.members.Living(now)
-	list := make([]Candidate, 0, len(living))
-	for _, addr := range living {
-		list = append(list, Candidate{Addr: addr, Near: n.members.where[addr] == n.self.DataCentre, Link: n.members.Link(addr), Ahead: n.revisions[addr].After(own)})
+	alive := n.members.Alive(now)
+	list := make([]Candidate, 0, len(alive))
+	for _, addr := range alive {
+		list = append(list, Candidate{Addr: addr, SameDataCentre: n.members.dataCentres[addr] == n.self.DataCentre, LinkMbps: n.members.LinkMbps(addr), Ahead: n.revisions[addr].After(own)})
 	}
 	return list
 }
 
-// heardRevision notes how far the catalog of an entry is.
-func (n *Node) heardRevision(addr string, at revision.Revision) {
+// recordRevision records the catalog revision of an entry.
+func (n *Node) recordRevision(addr string, at revision.Revision) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.revisions[addr] = at
 }
 
-// answered is the last answer to one that asked from an era that is over.
-type answered struct {
+// eraAnswer is the last answer to an entry that asked from a former era.
+type eraAnswer struct {
 	asked revision.Revision
 	at    time.Time
 }
 
-// answerAgain is the pause before the same question from an era that is over is answered again.
-const answerAgain = 2 * time.Second
+// repeatAnswerInterval is the pause before the same question from a former era is answered
+// again.
+const repeatAnswerInterval = 2 * time.Second
 
-// mayAnswer reports whether to answer a question for what is published.
+// mayAnswer reports whether to answer a question for published entries.
 //
-// Entries of a version that knows no eras take the revisions of a new one for old, and ask for
-// all that it has ten times a second, for ever. One that knows eras asks from there next time.
+// Entries of a version without eras take the revisions of a new era for old ones and ask for
+// all of its entries ten times a second, endlessly. An entry that knows eras asks from the
+// new one next time.
 func (n *Node) mayAnswer(now time.Time, from string, asked, own revision.Revision) bool {
 	if asked.Era == own.Era {
 		return true
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if last := n.answered[from]; last.asked == asked && now.Sub(last.at) < answerAgain {
+	if last := n.eraAnswers[from]; last.asked == asked && now.Sub(last.at) < repeatAnswerInterval {
 		return false
 	}
-	n.answered[from] = answered{asked: asked, at: now}
+	n.eraAnswers[from] = eraAnswer{asked: asked, at: now}
 	return true
 }
 
-// publish adds to a reply what is newer than a revision.
-func (n *Node) publish(reply *wire.Reply, after revision.Revision) {
+// addPublishedSince adds to a reply what is newer than a revision.
+func (n *Node) addPublishedSince(reply *wire.Reply, after revision.Revision) {
 	entries, upTo, keys := n.catalog.Since(after)
 	reply.Era, reply.UpTo, reply.Keys = upTo.Era, upTo.Count, keys
 	n.addPublished(reply, entries)
 }
 
-// addPublished adds entries to a reply, large values by manifest.
+// addPublished adds published entries to a reply, large values by their manifest.
 func (n *Node) addPublished(reply *wire.Reply, entries []catalog.Entry) {
 	for _, e := range entries {
 		p := wire.Published{Key: e.Key, Value: e.Value, Revision: e.Revision.Count, Removed: e.Removed}
-		if len(e.Value) >= largeValue {
+		if len(e.Value) >= largeValueBytes {
 			m := n.index.Manifest(e.Key, e.Revision, e.Value)
 			p.Value, p.Manifest = nil, &m
 		}
@@ -111,36 +113,36 @@
 	n.Metrics.Add("published_answers_out", 1)
 }
 
-// handOn answers a question for parts of large values.
-func (n *Node) handOn(m *wire.Wanted) *wire.Parts {
-	packed := n.index.Packed(m.Digests, answerBytes)
+// handleWanted returns the requested parts of large values.
+func (n *Node) handleWanted(m *wire.Wanted) *wire.Parts {
+	packed := n.index.Packed(m.Digests, maxPartsBytes)
 	for _, p := range packed {
 		n.Metrics.Add("published_bytes_out", int64(len(p)))
 	}
 	return &wire.Parts{Packed: packed}
 }
 
-// takePublished takes the answer of an entry that was asked, and asks on for
-// the parts of large values.
-func (n *Node) takePublished(addr string, r *wire.Reply, c *wire.Conn) {
+// handlePublished handles the published entries in a reply, and requests the parts of large
+// values.
+func (n *Node) handlePublished(addr string, r *wire.Reply, c *wire.Conn) {
 	if r.UpTo == 0 && !r.Corrects || r.Era < n.catalog.Revision().Era {
-		return // what was known in an era that is over is no news
+		return // knowledge from a former era is obsolete
 	}
-	n.indexOwn(r.Entries)
+	n.indexOwnValues(r.Entries)
 	now := time.Now()
-	n.finish(now, n.begin(now, addr, r, c))
+	n.finishFetch(now, n.beginFetch(now, addr, r, c))
 }
 
-// begin returns the fetch of an answer if it is complete at once, else nil.
-func (n *Node) begin(now time.Time, addr string, r *wire.Reply, c *wire.Conn) *fetch {
+// beginFetch starts the fetch of a reply, and returns it if it is complete at once.
+func (n *Node) beginFetch(now time.Time, addr string, r *wire.Reply, c *wire.Conn) *fetch {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.fetch.alive(now) {
-		return nil // an answer to an earlier question
+	if n.fetch.active(now) {
+		return nil // a late answer to an earlier question
 	}
-	given := n.fetch
+	abandoned := n.fetch
 	f, err := newFetch(now, addr, r, func(digest uint64) ([]byte, bool) {
-		if part, ok := given.part(digest); ok {
+		if part, ok := abandoned.part(digest); ok {
 			return part, true
 		}
 		return n.index.Part(digest)
@@ -150,12 +152,12 @@
 		return nil
 	}
 	n.fetch = f
-	return n.advance(c)
+	return n.continueFetch(c)
 }
 
-// indexOwn makes the parts of this entry's own large values known, which the
-// newer ones are likely to share.
-func (n *Node) indexOwn(entries []wire.Published) {
+// indexOwnValues indexes the parts of this entry's own versions of large values, which are
+// likely to share parts with the newer ones.
+func (n *Node) indexOwnValues(entries []wire.Published) {
 	for _, e := range entries {
 		if e.Manifest == nil {
 			continue
@@ -166,86 +168,88 @@
 	}
 }
 
-// takeParts takes parts of large values.
-func (n *Node) takeParts(addr string, m *wire.Parts, c *wire.Conn) {
+// handleParts handles parts of large values.
+func (n *Node) handleParts(addr string, m *wire.Parts, c *wire.Conn) {
 	now := time.Now()
-	n.finish(now, n.add(now, addr, m, c))
+	n.finishFetch(now, n.addParts(now, addr, m, c))
 }
 
-// add returns the fetch that parts complete, if any.
-func (n *Node) add(now time.Time, addr string, m *wire.Parts, c *wire.Conn) *fetch {
+// addParts adds parts to the fetch, and returns it if they complete it.
+func (n *Node) addParts(now time.Time, addr string, m *wire.Parts, c *wire.Conn) *fetch {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.fetch == nil || n.fetch.from != addr {
-		return nil // given up meanwhile
+	if n.fetch == nil || n.fetch.peer != addr {
+		return nil // abandoned meanwhile
 	}
-	if err := n.fetch.add(now, m.Packed); err != nil {
+	if err := n.fetch.addParts(now, m.Packed); err != nil {
 		n.log.Emit(event.FetchFailed, zap.String("peer", addr), event.Err(err))
 		return nil
 	}
-	if n.fetch.ended {
+	if n.fetch.failed {
 		return nil
 	}
-	n.source.Progress(now, addr)
-	return n.advance(c)
+	n.source.RecordProgress(now, addr)
+	return n.continueFetch(c)
 }
 
-// advance asks for what the fetch still lacks, or returns it; n.mu is held.
-func (n *Node) advance(c *wire.Conn) *fetch {
+// continueFetch requests what the fetch still lacks, or returns it if it is complete. The
+// caller holds n.mu.
+func (n *Node) continueFetch(c *wire.Conn) *fetch {
 	f := n.fetch
 	wanted := f.wanted()
 	if len(wanted) == 0 {
 		n.fetch = nil
 		return f
 	}
-	// A connection that has ended is noticed by the want of progress.
+	// If the connection has ended, the fetch stalls and another entry is asked.
 	_ = c.Send(&wire.Wanted{Digests: wanted})
 	return nil
 }
 
-// finish takes what a complete fetch brought; it may be nil.
-func (n *Node) finish(now time.Time, f *fetch) {
+// finishFetch merges the entries of a complete fetch; f may be nil.
+func (n *Node) finishFetch(now time.Time, f *fetch) {
 	if f == nil {
 		return
 	}
 	entries, err := f.entries()
 	if err != nil {
-		n.log.Emit(event.FetchFailed, zap.String("peer", f.from), event.Err(err))
+		n.log.Emit(event.FetchFailed, zap.String("peer", f.peer), event.Err(err))
 		return
 	}
 	n.Metrics.Add("published_answers_in", 1)
 	n.Metrics.Add("published_bytes_in", int64(f.bytes))
 	took := now.Sub(f.began)
-	news := n.take(now, took, f.reply, entries)
-	if len(news) == 0 {
+	updated := n.mergeFetched(now, took, f.reply, entries)
+	if len(updated) == 0 {
 		return
 	}
-	n.progress(now, f.from)
-	for _, e := range news {
-		if len(e.Value) >= largeValue {
+	n.recordProgress(now, f.peer)
+	for _, e := range updated {
+		if len(e.Value) >= largeValueBytes {
 			n.index.Manifest(e.Key, e.Revision, e.Value)
 		}
 	}
-	n.log.Emit(event.LearnedFromEntry, zap.String("peer", f.from), zap.Int("entries", len(news)), zap.Stringer("revision", f.reply.CompleteTo()),
+	n.log.Emit(event.LearnedFromEntry, zap.String("peer", f.peer), zap.Int("entries", len(updated)), zap.Stringer("revision", f.reply.CompleteTo()),
 		zap.Int("bytes", f.bytes), zap.Duration("took", took))
 }
 
-// take merges what an answer brought and returns what was news.
-func (n *Node) take(now time.Time, took time.Duration, r *wire.Reply, entries []catalog.Entry) []catalog.Entry {
+// mergeFetched merges the entries of a reply into the catalog, and returns those that were
+// new.
+func (n *Node) mergeFetched(now time.Time, took time.Duration, r *wire.Reply, entries []catalog.Entry) []catalog.Entry {
 	if r.Corrects {
 		return n.catalog.Merge(now, entries, revision.Revision{})
 	}
-	news := n.catalog.Merge(now, entries, r.CompleteTo())
+	updated := n.catalog.Merge(now, entries, r.CompleteTo())
 	if r.Keys != nil {
-		news = append(news, n.catalog.Keep(now, r.Keys, r.At())...)
+		updated = append(updated, n.catalog.Keep(now, r.Keys, r.At())...)
 	}
 	n.Heard(r.Age + took)
-	return news
+	return updated
 }
 
-// progress records that an entry brought something new.
-func (n *Node) progress(now time.Time, addr string) {
+// recordProgress records that an entry sent something new.
+func (n *Node) recordProgress(now time.Time, addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.source.Progress(now, addr)
+	n.source.RecordProgress(now, addr)
 }
--- a/gossip/removed_test.go
+++ b/gossip/removed_test.go
@@ -14,10 +14,11 @@
 
 func count(n uint64) revision.Revision { return revision.Revision{Count: n} }
 
-// TestRemovedBeforeAListing: an endpoint leaves while the entry that reads for its data centre is
-// restarted. That one lists the store without it, and what it hands on does not say that it is
-// gone: the others send it requests for as long as they run.
-func TestRemovedBeforeAListing(t *testing.T) {
+// TestRemovalMissedByReader guards against requests to an endpoint that left while the reader
+// of a data centre restarted. That reader lists the store without the endpoint, so its
+// answers contain no removal, and the other entries would send requests to the endpoint for
+// as long as they run.
+func TestRemovalMissedByReader(t *testing.T) {
 	for _, entries := range []int{3, 700} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
--- a/gossip/source.go
+++ b/gossip/source.go
@@ -7,47 +7,46 @@
 )
 
 const (
-	// hearWait is how long an entry that starts waits to hear of another one that reads the
-	// platform for it, and tellWait for what that one knows, before it lists all itself.
-	hearWait = 600 * time.Millisecond
-	tellWait = time.Second
+	// readerDiscoveryWait is how long an entry that starts waits until it hears of another
+	// one that reads the store for it, and readerAnswerWait how long it waits for that one's
+	// published entries, before it lists the store itself.
+	readerDiscoveryWait = 600 * time.Millisecond
+	readerAnswerWait    = time.Second
 )
 
-// sourcePatience is how long an entry that is asked may bring nothing new
-// before the next one is asked: some rounds of askInterval, and several times
-// what one answer of answerBytes takes on a link of 10 Mbit/s that others use.
-const sourcePatience = 400 * time.Millisecond
+// sourceTimeout is how long the asked entry may send nothing new before the next one is
+// asked: a few times askInterval, and several times as long as one answer of maxPartsBytes
+// takes on a 10 Mbit/s link that is used for other things too.
+const sourceTimeout = 400 * time.Millisecond
 
-// Candidate is an entry that may know more than this one.
+// Candidate is an entry that may have newer published entries.
 type Candidate struct {
 	Addr string
-	// Near says that it is in the same data centre.
-	Near bool
-	// Link is the capacity of its link in Mbit/s.
-	Link float64
+	// SameDataCentre says that it is in the same data centre as this entry.
+	SameDataCentre bool
+	// LinkMbps is the capacity of its link.
+	LinkMbps float64
 	// Ahead says that its catalog is known to be newer.
 	Ahead bool
 }
 
-// Source chooses the one entry that is asked for what is published. It does no
-// I/O and is not safe for concurrent use.
+// SourceSelector chooses the one entry to ask for published entries. It does no I/O and is
+// not safe for concurrent use.
 //
-// An entry that is behind asks all others at once, and
-// the copies of one large answer fill its link, so that none arrives in time and
-// it stays behind. It shows as a configuration that is not in force and as late
-// answers of everything else on that link. The guard holds because there is one
-// question at a time, however long the entry is behind.
-type Source struct {
+// Only one entry is asked at a time, however long this one is behind. If all were asked at
+// once, the copies of one large answer would fill the link: none would arrive in time, the
+// configuration would not come into force, and all other traffic on that link would be late.
+type SourceSelector struct {
 	addr string
-	// progress is when addr was chosen or last brought something.
+	// progress is when addr was chosen or last sent something new.
 	progress time.Time
 	tried    map[string]time.Time
 }
 
-// Choose returns the entry to ask now, empty for none: the reader unless this
-// entry is behind all the same, then one candidate after the other, those ahead
-// and those not tried lately first, near ones before far ones and wide links before narrow ones.
-func (s *Source) Choose(now time.Time, reader string, behind bool, candidates func() []Candidate) string {
+// Choose returns the entry to ask now, empty for none: the reader, or if this entry is behind
+// nevertheless, one candidate after another. Candidates that are ahead come first, then those
+// not tried lately, those in the same data centre, and those with a wider link.
+func (s *SourceSelector) Choose(now time.Time, reader string, behind bool, candidates func() []Candidate) string {
 	if !behind {
 		s.addr = ""
 		s.tried = nil
@@ -58,7 +57,7 @@
 		return ""
 	}
 	best := slices.MinFunc(list, s.compare)
-	if s.addr != "" && now.Sub(s.progress) <= sourcePatience && !better(best, s.addr, list) {
+	if s.addr != "" && now.Sub(s.progress) <= sourceTimeout && !worthSwitching(best, s.addr, list) {
 		return s.addr
 	}
 	if s.tried == nil {
@@ -69,38 +68,39 @@
 	return s.addr
 }
 
-// better reports whether a candidate is ahead and the one asked now is not, which
-// has nothing to bring then.
-func better(best Candidate, asked string, list []Candidate) bool {
+// worthSwitching reports whether a candidate is ahead and the entry asked now is not, which
+// then has nothing new to send.
+func worthSwitching(best Candidate, asked string, list []Candidate) bool {
 	return best.Ahead && !slices.ContainsFunc(list, func(c Candidate) bool { return c.Addr == asked && c.Ahead })
 }
 
-// compare orders candidates, the one to ask first as the least.
-func (s *Source) compare(a, b Candidate) int {
+// compare orders candidates, the one to ask first as the smallest.
+func (s *SourceSelector) compare(a, b Candidate) int {
 	if a.Ahead != b.Ahead {
 		if a.Ahead {
 			return -1
 		}
 		return 1
 	}
-	if tried := s.tried[a.Addr].Compare(s.tried[b.Addr]); tried != 0 || a.Near == b.Near {
-		return cmp.Or(tried, cmp.Compare(b.Link, a.Link), cmp.Compare(a.Addr, b.Addr))
+	if tried := s.tried[a.Addr].Compare(s.tried[b.Addr]); tried != 0 || a.SameDataCentre == b.SameDataCentre {
+		return cmp.Or(tried, cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(a.Addr, b.Addr))
 	}
-	if a.Near {
+	if a.SameDataCentre {
 		return -1
 	}
 	return 1
 }
 
-// Progress records that an entry brought something new.
-func (s *Source) Progress(now time.Time, addr string) {
+// RecordProgress records that an entry sent something new.
+func (s *SourceSelector) RecordProgress(now time.Time, addr string) {
 	if addr == s.addr {
 		s.progress = now
 	}
 }
 
-// expects reports whether an entry that has waited for some time since it began to list is still
-// to wait for others; reads says that nobody is known to read for it.
-func expects(waited time.Duration, reads bool) bool {
-	return waited < hearWait || waited < tellWait && !reads
+// shouldWait reports whether an entry that began to wait some time ago is still to wait for
+// others before it lists the store; reads says that it knows of no other entry that reads the
+// store for it.
+func shouldWait(waited time.Duration, reads bool) bool {
+	return waited < readerDiscoveryWait || waited < readerAnswerWait && !reads
 }
--- a/gossip/traffic.go
+++ b/gossip/traffic.go
@@ -11,36 +11,37 @@
 	"ebonypulley/wire"
 )
 
-// trafficInterval is the pause between two lines of log that tell what went to other entries.
+// trafficInterval is the pause between two log lines that summarize the traffic to other
+// entries.
 const trafficInterval = time.Minute
 
-// Kinds of what this entry sends to others, as they are counted in its metrics.
+// Kinds of messages to other entries, as prefixes of metric names.
 const (
 	reportsSent = "reports"
 	repliesSent = "replies"
 	partsSent   = "parts"
 )
 
-// sent counts a frame of a kind.
-func (n *Node) sent(kind string, frame []byte) {
+// countSent counts a sent frame of a kind.
+func (n *Node) countSent(kind string, frame []byte) {
 	n.Metrics.Add(kind+"_out", 1)
 	n.Metrics.Add(kind+"_bytes_out", int64(len(frame)))
 }
 
-// reply encodes, counts and sends an answer of a kind.
-func (n *Node) reply(c *wire.Conn, kind string, m wire.Message) {
+// sendReply encodes, counts and sends an answer of a kind.
+func (n *Node) sendReply(c *wire.Conn, kind string, m wire.Message) {
 	frame, err := wire.AppendFrame(nil, m)
 	if err != nil {
 		n.log.Emit(event.ReportUnsent, event.Err(err))
 		return
 	}
-	n.sent(kind, frame)
-	// A connection that has ended needs no answer.
+	n.countSent(kind, frame)
+	// If the connection has ended, nobody waits for the answer.
 	_ = c.SendFrame(frame)
 }
 
-// tellTraffic logs what was sent until ctx ends.
-func (n *Node) tellTraffic(ctx context.Context) error {
+// logTraffic logs a summary of what was sent each trafficInterval until ctx ends.
+func (n *Node) logTraffic(ctx context.Context) error {
 	before := make(map[string]int64)
 	for ebonypulley.Sleep(ctx, trafficInterval) {
 		var fields []zap.Field
--- a/quota/census.go
+++ b/quota/census.go
@@ -3,112 +3,113 @@
 import "time"
 
 const (
-	// settleTime is how long the number of entries has to stay before an entry that started
-	// while it grew takes it for that of the whole fleet.
+	// settleTime is how long the fleet size has to stay the same before an entry that started
+	// while it grew takes it for the size of the whole fleet.
 	settleTime = 1200 * time.Millisecond
-	// assumedLeast is the number of entries that it reckons with at least until then.
-	assumedLeast = 64
-	// firstContact is the number of entries that one knows which has heard of a single other
-	// one, that knows nobody else.
-	firstContact = 2
+	// assumedMinEntries is the minimum fleet size that such an entry assumes until then.
+	assumedMinEntries = 64
+	// firstContactSize is the fleet size seen by an entry that has heard of a single other
+	// one, which knows nobody else.
+	firstContactSize = 2
 )
 
-// census is what an entry knows of the number of entries.
+// fleetSize is what an entry knows of the number of entries in the fleet.
 //
-// Entries that are restarted together hear of each other step by step, and each group of them
-// takes itself for the whole fleet. It shows as a multiple of each limit in the seconds after.
-// The guard holds because a restarted entry that sees the number grow, or knows one other only,
-// reckons with assumedLeast until the number stays or one that has counted tells it.
-type census struct {
-	// size is the most entries that there were lately, zero while that is unknown, and peak
-	// the most that it ever was.
+// Entries that are restarted together learn of each other step by step, and each group would
+// take itself for the whole fleet and admit a multiple of each limit in the seconds after the
+// restart. Therefore a restarted entry that sees the number grow, or knows only one other
+// entry, assumes at least assumedMinEntries until the number settles or an entry that knows
+// the whole fleet confirms it.
+type fleetSize struct {
+	// size is the largest fleet size lately, zero while unknown, and peak the largest ever.
 	size, peak int
-	// cautious says that a former incarnation's use is unknown to this one.
+	// cautious says that the use by a former incarnation of this entry is unknown.
 	cautious bool
-	// counted says that size is taken for the whole fleet, growing that it was seen to grow
-	// before, and changed when it last did.
-	counted, growing bool
+	// settled says that size is taken for the whole fleet, growing that it was seen to grow
+	// before, and changed is when it last grew.
+	settled, growing bool
 	changed          time.Time
-	// fresh says that size has grown since the last look at the clock, confirmed that another
-	// entry took it for the whole fleet.
-	fresh, confirmed bool
+	// grew says that size has grown since changed was last updated, confirmed that another
+	// entry takes it for the whole fleet.
+	grew, confirmed bool
 }
 
-func newCensus(cautious bool) census { return census{cautious: cautious} }
+func newFleetSize(cautious bool) fleetSize { return fleetSize{cautious: cautious} }
 
-func (c *census) unknown() bool { return c.size <= 0 }
+func (f *fleetSize) unknown() bool { return f.size <= 0 }
 
-// set takes the most entries that there were lately.
-func (c *census) set(size int) {
-	if size > c.size {
-		c.growing = c.growing || !c.unknown() || size <= firstContact
-		c.fresh = true
+// update sets the largest fleet size lately.
+func (f *fleetSize) update(size int) {
+	if size > f.size {
+		f.growing = f.growing || !f.unknown() || size <= firstContactSize
+		f.grew = true
 	}
-	c.size, c.peak = size, max(size, c.peak)
+	f.size, f.peak = size, max(size, f.peak)
 }
 
-// look reports whether caution ends now.
-func (c *census) look(now time.Time) (ends bool) {
-	if c.fresh {
-		c.changed, c.fresh = now, false
+// checkSettled marks the size as settled when it is, and reports whether that ends caution.
+func (f *fleetSize) checkSettled(now time.Time) (ends bool) {
+	if f.grew {
+		f.changed, f.grew = now, false
 	}
-	if c.counted || c.unknown() || !c.confirmed && now.Sub(c.changed) < settleTime {
+	if f.settled || f.unknown() || !f.confirmed && now.Sub(f.changed) < settleTime {
 		return false
 	}
-	ends = c.assumed() > c.size
-	c.counted = true
+	ends = f.assumed() > f.size
+	f.settled = true
 	return ends
 }
 
-// left returns how long caution lasts if the number stays, and whether there is any.
-func (c *census) left(now time.Time) (left time.Duration, cautious bool) {
-	return settleTime - now.Sub(c.changed), c.assumed() > c.size
+// cautionLeft returns how long caution lasts if the size stays the same, and whether this
+// entry is cautious.
+func (f *fleetSize) cautionLeft(now time.Time) (left time.Duration, cautious bool) {
+	return settleTime - now.Sub(f.changed), f.assumed() > f.size
 }
 
-// assumed is the number of entries to reckon with.
-func (c *census) assumed() int {
-	if c.cautious && c.growing && !c.counted {
-		return max(c.size, assumedLeast)
+// assumed returns the number of entries to share limits among.
+func (f *fleetSize) assumed() int {
+	if f.cautious && f.growing && !f.settled {
+		return max(f.size, assumedMinEntries)
 	}
-	return c.size
+	return f.size
 }
 
-// Counted reports whether this entry takes the number of entries that it was told for that of the
-// whole fleet.
-func (l *Ledger) Counted(now time.Time) bool {
+// FleetSizeSettled reports whether this entry takes the fleet size that it was told for that
+// of the whole fleet.
+func (l *Ledger) FleetSizeSettled(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.settle(now)
-	return l.census.counted
+	l.settleFleetSize(now)
+	return l.fleet.settled
 }
 
-// Confirm says that the number of entries, as it was last told, is that of the whole fleet.
-func (l *Ledger) Confirm() {
+// ConfirmFleetSize records that the last fleet size set is that of the whole fleet.
+func (l *Ledger) ConfirmFleetSize() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.census.confirmed = !l.census.unknown()
+	l.fleet.confirmed = !l.fleet.unknown()
 }
 
-// settle gives accounts what was withheld from them since the number of entries last grew, once
-// that has proved to be all; l.mu is held.
-func (l *Ledger) settle(now time.Time) {
-	if !l.census.look(now) {
+// settleFleetSize checks whether the fleet size has settled, and if so returns to the
+// accounts what was withheld from them since it last grew. The caller holds l.mu.
+func (l *Ledger) settleFleetSize(now time.Time) {
+	if !l.fleet.checkSettled(now) {
 		return
 	}
 	for _, a := range l.accounts {
 		share := l.share(now, a.full)
 		withheld := l.withheld(now, a, share)
-		a.limit(now, a.full, a.depth, share)
+		a.setLimit(now, a.full, a.depth, share)
 		a.spend(now, -withheld)
 	}
 }
 
-// withheld returns the tokens that an account lacks since the number of entries last grew, because
-// the part of the limit in force is below another one; l.mu is held.
+// withheld returns the tokens that an account lacks since the fleet size last grew, because
+// its share of the limit is below another one. The caller holds l.mu.
 func (l *Ledger) withheld(now time.Time, a *account, share float64) float64 {
-	since := a.began
-	if since.Before(l.census.changed) {
-		since = l.census.changed
+	since := a.created
+	if since.Before(l.fleet.changed) {
+		since = l.fleet.changed
 	}
 	return max(share-a.share, 0) * a.full.Rate * now.Sub(since).Seconds()
 }
--- a/quota/census_test.go
+++ b/quota/census_test.go
@@ -9,60 +9,62 @@
 	"ebonypulley/quota"
 )
 
-// TestToldTheCount: one of few entries is restarted and hears of the others one after another. It
-// must not refuse a workspace below its limit once one of them has told it how many there are.
-func TestToldTheCount(t *testing.T) {
+// TestConfirmedFleetSizeEndsCaution guards against an entry of a small fleet that is
+// restarted, hears of the others one after another, and refuses a workspace below its limit
+// even after one of them has confirmed the fleet size.
+func TestConfirmedFleetSizeEndsCaution(t *testing.T) {
 	f := newFleet(5, limit)
-	f.exchange(at(0))
+	f.exchangeUse(at(0))
 	f.restart(4, true)
 	newcomer := f.entries[4]
 	for known := 2; known <= 5; known++ {
 		newcomer.SetEntries(known)
 	}
 	for i, e := range f.entries[:4] {
-		newcomer.Hear(at(10*time.Millisecond), e.name, quota.Incarnation{byte(i)}, nil)
+		newcomer.MergeUse(at(10*time.Millisecond), e.name, quota.Incarnation{byte(i)}, nil)
 	}
 	assert.True(t, newcomer.Take(at(10*time.Millisecond), workspace, 5000).OK)
 	assert.False(t, newcomer.Take(at(10*time.Millisecond), workspace, 5000).OK)
 
-	newcomer.Confirm()
+	newcomer.ConfirmFleetSize()
 	second := at(time.Second)
 	for i, e := range f.entries[:4] {
-		newcomer.Hear(second, e.name, quota.Incarnation{byte(i)}, nil)
+		newcomer.MergeUse(second, e.name, quota.Incarnation{byte(i)}, nil)
 	}
 	assert.True(t, newcomer.Take(second, workspace, 30_000).OK)
 	assert.True(t, newcomer.Take(second, workspace, 5000).OK)
 }
 
-// TestNothingToConfirm: an entry that was told that its count is whole before it has any must not
-// take itself for the whole fleet.
-func TestNothingToConfirm(t *testing.T) {
+// TestConfirmWithoutFleetSize guards against an entry that gets a confirmation before it has
+// a fleet size, and takes itself for the whole fleet.
+func TestConfirmWithoutFleetSize(t *testing.T) {
 	l := quota.NewLedger(quota.Settings{Tolerance: tolerance, Restarted: true})
 	l.SetLimits(map[quota.ID]quota.Limit{workspace: limit})
-	l.Confirm()
-	assert.False(t, l.Counted(at(0)))
+	l.ConfirmFleetSize()
+	assert.False(t, l.FleetSizeSettled(at(0)))
 	assert.False(t, l.Take(at(0), workspace, 200).OK)
 }
 
-// TestWithheldIsGivenBack: few entries are restarted together and admit little until they know each
-// other. What was withheld in that time must not be lost for the workspace.
-func TestWithheldIsGivenBack(t *testing.T) {
+// TestWithheldTokensAreReturned guards against a loss for the workspace when few entries are
+// restarted together and admit little until they know each other: what was withheld in that
+// time is returned.
+func TestWithheldTokensAreReturned(t *testing.T) {
 	const load, entries = 0.9, 9
 	l := quota.Limit{Rate: 126_000, Burst: 126_000}
-	f := playRestarted(entries, l, 100*time.Millisecond, load)
+	f := runRestart(entries, l, 100*time.Millisecond, load)
 	assert.GreaterOrEqual(t, f.served(8*time.Second), 0.88*l.Rate)
 	assert.GreaterOrEqual(t, f.served(9*time.Second), 0.88*l.Rate)
 	whole := f.served(6*time.Second) + f.served(7*time.Second)
 	assert.GreaterOrEqual(t, whole, 0.8*l.Rate, "tokens in the two seconds after the restart")
 }
 
-// TestCautiousEntryTellsItsEnd: an entry that admits little until it knows the fleet must not tell
-// refused callers to come back by that little, long after it admits all again.
-func TestCautiousEntryTellsItsEnd(t *testing.T) {
+// TestWaitEndsWithCaution guards against a cautious entry that tells refused callers to wait
+// as long as its reduced share requires, long after it admits all requests again.
+func TestWaitEndsWithCaution(t *testing.T) {
 	f := newFleet(2, limit)
 	f.restart(0, true)
 	newcomer, other := f.entries[0], f.entries[1]
-	hear := func(now time.Time) { newcomer.Hear(now, other.name, quota.Incarnation{1}, nil) }
+	hear := func(now time.Time) { newcomer.MergeUse(now, other.name, quota.Incarnation{1}, nil) }
 	newcomer.SetEntries(2)
 	hear(start)
 	assert.True(t, newcomer.Take(start, workspace, 9000).OK)
--- a/quota/news.go
+++ b/quota/news.go
@@ -10,39 +10,40 @@
 )
 
 const (
-	// maxNews bounds the IDs of which an entry tells at a time, those first whose limit it
-	// used most of.
-	maxNews = 64
-	// peerLife is how long what another entry said is remembered.
-	peerLife = 10 * time.Minute
-	// pressedShare is the part of its bucket below which a workspace is near its limit.
-	pressedShare = 0.5
+	// maxReportedUses bounds the workspaces whose use an entry reports at a time; those come
+	// first that used most of their limit.
+	maxReportedUses = 64
+	// peerRetention is how long the use reported by another entry is remembered.
+	peerRetention = 10 * time.Minute
+	// nearLimitFraction is the fraction of its bucket below which a workspace is near its
+	// limit.
+	nearLimitFraction = 0.5
 )
 
-// ID stands for a workspace among entries.
+// ID identifies a workspace or an endpoint in the reports of entries.
 type ID uint64
 
 // NewID returns the ID of a workspace's name.
 func NewID(workspace string) ID { return ID(xxhash.Sum64String(workspace)) }
 
-// Use is what one entry says of its use of a workspace. Counters only grow within an
-// epoch, so that news may be lost, repeated or reordered.
+// Use is an entry's own use of a workspace. Within an epoch counters only grow, so that
+// reports may be lost, repeated or reordered.
 type Use struct {
 	Workspace ID
-	// Epoch counts how often the entry began to tell of the workspace; the counters begin
-	// anew with each.
+	// Epoch counts how often the entry began to report the workspace; each epoch starts the
+	// counters at zero.
 	Epoch uint32
-	// Taken are tokens admitted, Returned those of them that were not used.
+	// Taken counts admitted tokens, Returned those of them that were not used.
 	Taken, Returned uint64
 }
 
-// net is the use of a newer word that an older one does not have.
-func (u Use) net(old Use) float64 {
+// netSince returns the net use since an older report.
+func (u Use) netSince(old Use) float64 {
 	return float64(u.Taken-old.Taken) - float64(u.Returned-old.Returned)
 }
 
-// join returns the newer of two words, counter by counter.
-func (u Use) join(old Use) Use {
+// merge returns the newer of two reports, counter by counter.
+func (u Use) merge(old Use) Use {
 	switch {
 	case u.Epoch < old.Epoch:
 		return old
@@ -53,71 +54,72 @@
 	return u
 }
 
-// Incarnation names one run of a process.
+// Incarnation identifies one run of a process.
 type Incarnation [16]byte
 
-// peer is what another entry said.
+// peer is what another entry reported.
 type peer struct {
 	incarnation Incarnation
 	use         map[ID]*peerUse
-	at          time.Time
-	// lost says that it is not heard any more.
-	lost bool
+	lastHeard   time.Time
+	// silent says that the entry is no longer heard.
+	silent bool
 }
 
-// peerUse is what another entry said of one workspace.
+// peerUse is another entry's use of one workspace.
 type peerUse struct {
 	Use
-	// pace is at which it is expected to use the workspace since at, in tokens a second;
-	// expected are the tokens that were expected of it before at and since its last word.
-	pace     float64
-	at       time.Time
-	expected float64
+	// expectedRate is the rate at which the entry is expected to use the workspace since at,
+	// in tokens a second; expected are the tokens expected since its last report and before
+	// at.
+	expectedRate float64
+	at           time.Time
+	expected     float64
 }
 
-// follow takes a newer word, and returns the use beyond what was expected.
-func (u *peerUse) follow(now time.Time, word Use) float64 {
+// update merges a report, and returns the use beyond what was expected.
+func (u *peerUse) update(now time.Time, latest Use) float64 {
 	before := u.Use
-	u.Use = word.join(before)
+	u.Use = latest.merge(before)
 	if u.Epoch != before.Epoch {
 		before = Use{}
 	}
-	used := u.net(before)
+	used := u.netSince(before)
 	since := now.Sub(u.at).Seconds()
-	beyond := used - u.expected - u.pace*expectedFor(now, u.at)
+	unexpected := used - u.expected - u.expectedRate*expectedSeconds(now, u.at)
 	if since > 0 && !u.at.IsZero() {
-		weight := 1 - math.Exp(-since/paceTime.Seconds())
-		u.pace += weight * (max(used, 0)/since - u.pace)
+		weight := 1 - math.Exp(-since/peerRateTime.Seconds())
+		u.expectedRate += weight * (max(used, 0)/since - u.expectedRate)
 	}
 	u.at, u.expected = now, 0
-	return beyond
+	return unexpected
 }
 
-// stop expects nothing more.
-func (u *peerUse) stop(now time.Time) {
-	u.expected += u.pace * expectedFor(now, u.at)
-	u.at, u.pace = now, 0
+// stopExpecting sets the expected rate to zero.
+func (u *peerUse) stopExpecting(now time.Time) {
+	u.expected += u.expectedRate * expectedSeconds(now, u.at)
+	u.at, u.expectedRate = now, 0
 }
 
-// Pressed reports whether anything that this entry tells of is near its limit, or a limit
-// has just changed, so that others need to hear of it soon.
-func (l *Ledger) Pressed(now time.Time) bool {
+// NearLimit reports whether anything that this entry reports is near its limit, or a limit
+// has just changed, so that others need to learn of it soon.
+func (l *Ledger) NearLimit(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.fresh(now) {
+	if l.limitChanged(now) {
 		return true
 	}
-	l.count(now)
+	l.countReachable(now)
 	for _, a := range l.accounts {
-		if now.Before(a.announceUntil) && a.bucket.TokensAt(now) < pressedShare*float64(a.bucket.Burst()) {
+		if now.Before(a.reportUntil) && a.bucket.TokensAt(now) < nearLimitFraction*float64(a.bucket.Burst()) {
 			return true
 		}
 	}
 	return false
 }
 
-// News returns what is to be told others of this entry's own use.
-func (l *Ledger) News(now time.Time) []Use {
+// OwnUse returns this entry's own use that is to be reported to others.
+func (l *Ledger) OwnUse(now time.Time) []Use {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	type ranked struct {
@@ -126,98 +128,99 @@
 	}
 	var list []ranked
 	for id, a := range l.accounts {
-		if now.Before(a.announceUntil) {
+		if now.Before(a.reportUntil) {
 			list = append(list, ranked{Use{id, a.epoch, a.taken, a.returned}, a.recent.value(now) / a.full.Rate})
 		}
 	}
 	slices.SortFunc(list, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(b.recent, a.recent), cmp.Compare(a.Workspace, b.Workspace))
 	})
-	news := make([]Use, 0, min(len(list), maxNews))
-	for _, r := range list[:min(len(list), maxNews)] {
-		news = append(news, r.Use)
+	uses := make([]Use, 0, min(len(list), maxReportedUses))
+	for _, r := range list[:min(len(list), maxReportedUses)] {
+		uses = append(uses, r.Use)
 	}
-	return news
+	return uses
 }
 
-// announce begins to tell of an account that uses a good part of its limit, and goes on while
-// it does; l.mu is held.
-func (l *Ledger) announce(now time.Time, a *account) {
-	part := a.full.Rate / float64(max(l.census.assumed(), 1))
-	if a.recent.perSecond(now) < announceShare*part {
+// startReporting starts to report an account that uses a large fraction of its limit, and
+// continues while it does. The caller holds l.mu.
+func (l *Ledger) startReporting(now time.Time, a *account) {
+	equalShare := a.full.Rate / float64(max(l.fleet.assumed(), 1))
+	if a.recent.perSecond(now) < reportFraction*equalShare {
 		return
 	}
-	if now.After(a.announceUntil) {
+	if now.After(a.reportUntil) {
 		a.epoch++
 		a.taken, a.returned = uint64(max(a.recent.value(now), 0)), 0
 	}
-	a.announceUntil = now.Add(announceTime)
+	a.reportUntil = now.Add(reportTime)
 }
 
-// Hear takes what another process says of its own use.
-func (l *Ledger) Hear(now time.Time, from string, incarnation Incarnation, news []Use) {
+// MergeUse merges the use reported by another process.
+func (l *Ledger) MergeUse(now time.Time, from string, incarnation Incarnation, uses []Use) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.peers[from]
-	stranger := p == nil
-	if stranger || p.incarnation != incarnation {
-		if !stranger {
-			l.markLost(now, p)
+	firstContact := p == nil
+	if firstContact || p.incarnation != incarnation {
+		if !firstContact {
+			l.markSilent(now, p)
 		}
 		p = &peer{incarnation: incarnation, use: make(map[ID]*peerUse)}
 		l.peers[from] = p
 	}
-	// What it used in silence came out of the part that was left to it.
-	silent := p.lost
-	p.at, p.lost = now, false
-	for _, word := range news {
-		u := p.use[word.Workspace]
+	// What it used while silent came out of the share left to it.
+	silent := p.silent
+	p.lastHeard, p.silent = now, false
+	for _, use := range uses {
+		u := p.use[use.Workspace]
 		if u == nil {
 			u = new(peerUse)
-			p.use[word.Workspace] = u
+			p.use[use.Workspace] = u
 		}
-		l.follow(now, u, word, !stranger && !silent)
+		l.mergeWorkspaceUse(now, u, use, !firstContact && !silent)
 	}
 }
 
-// follow takes another entry's word on a workspace, and counts what it used since its last
-// one if that is to count; l.mu is held.
-func (l *Ledger) follow(now time.Time, u *peerUse, word Use, counts bool) {
-	pace := u.pace
-	beyond := u.follow(now, word)
-	limit, limited := l.limitOf(word.Workspace)
-	if !limited || l.census.unknown() {
+// mergeWorkspaceUse merges another entry's use of a workspace; charge says that what it used
+// since its last report is taken from the bucket. The caller holds l.mu.
+func (l *Ledger) mergeWorkspaceUse(now time.Time, u *peerUse, use Use, charge bool) {
+	oldRate := u.expectedRate
+	unexpected := u.update(now, use)
+	limit, limited := l.limitOf(use.Workspace)
+	if !limited || l.fleet.unknown() {
 		return
 	}
-	a := l.account(now, word.Workspace, limit)
-	a.changePace(now, u.pace-pace)
-	if counts {
-		a.charge(now, beyond, l.toleranceOf(limit).Window)
+	a := l.account(now, use.Workspace, limit)
+	a.adjustExpectedRate(now, u.expectedRate-oldRate)
+	if charge {
+		a.charge(now, unexpected, l.toleranceOf(limit).Window)
 	}
 }
 
-// markLost expects nothing more of an entry that fell silent; l.mu is held.
-func (l *Ledger) markLost(now time.Time, p *peer) {
-	if p.lost {
+// markSilent expects no more use by an entry that fell silent. The caller holds l.mu.
+func (l *Ledger) markSilent(now time.Time, p *peer) {
+	if p.silent {
 		return
 	}
-	p.lost = true
+	p.silent = true
 	for id, u := range p.use {
-		pace := u.pace
-		u.stop(now)
+		oldRate := u.expectedRate
+		u.stopExpecting(now)
 		if a := l.accounts[id]; a != nil {
-			a.changePace(now, -pace)
+			a.adjustExpectedRate(now, -oldRate)
 		}
 	}
 }
 
-// changePace changes the pace at which others are expected to use the workspace.
-func (a *account) changePace(now time.Time, by float64) {
-	a.expect(now)
-	a.pace = max(a.pace+by, 0)
+// adjustExpectedRate changes the rate at which others are expected to use the workspace.
+func (a *account) adjustExpectedRate(now time.Time, by float64) {
+	a.chargeExpected(now)
+	a.expectedRate = max(a.expectedRate+by, 0)
 }
 
-// charge takes what others used from the bucket, up to a debt of a window.
+// charge takes what others used from the bucket, up to a debt of what the limit allows in a
+// window.
 func (a *account) charge(now time.Time, tokens float64, window time.Duration) {
 	room := a.bucket.TokensAt(now) + a.full.Rate*window.Seconds()
 	a.spend(now, min(tokens, max(room, 0)))
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,7 +1,7 @@
-// Package quota bounds what each workspace uses over all entries together, without
-// shared state. Each entry keeps a replica of one token bucket a workspace: it takes
-// from it what it admits itself and what the others say that they admitted. It does no
-// I/O.
+// Package quota limits what each workspace uses over all entries together, without shared
+// state. Each entry keeps a replica of one token bucket per workspace, and takes from it what
+// it admits itself and what the others report that they admitted. The limits that endpoints
+// advertise are enforced in the same way. The package does no I/O.
 package quota
 
 import (
@@ -14,54 +14,56 @@
 )
 
 const (
-	// unheardMargin is the part of the tolerated use that is shared out while entries are
-	// not heard; the rest makes up for what is admitted until the silence is noticed.
-	unheardMargin = 0.8
-	// earlyShare is the part of a bucket below which requests are refused by chance.
-	earlyShare = 0.5
-	// depthShare is the part of the tolerated use that makes buckets deeper.
-	depthShare = 0.25
-	// newcomerShare is the part of the burst that an entry starts with if it may have run
-	// before: what its predecessor admitted is unknown to it.
-	newcomerShare = 0.25
-	// newcomerSlack is the part of the rate that a workspace leaves unused if it is to be refused
-	// nothing by an entry that started with little.
-	newcomerSlack = 0.1
-	// recentTime is the time constant of an entry's own recent use.
-	recentTime = 2 * time.Second
-	// announceShare is the part of its equal part of a workspace's rate from which on an
-	// entry tells others its use, and announceTime how long it goes on. All that is not told
-	// adds up to that part of the rate at most.
-	announceShare = 1.0 / 8
-	announceTime  = 10 * time.Second
-	// idleTime is how long an unused account is kept.
-	idleTime = time.Minute
-	// silenceTimeout is how long after its last word an entry counts as heard, and
-	// countInterval the pause between two counts.
+	// partitionMargin is the fraction of the tolerated use that is shared out while entries
+	// are not heard; the rest covers what is admitted until the silence is noticed.
+	partitionMargin = 0.8
+	// earlyRefusalFraction is the fraction of a bucket below which requests are refused at
+	// random.
+	earlyRefusalFraction = 0.5
+	// toleranceDepthFraction is the fraction of the tolerated excess that deepens buckets.
+	toleranceDepthFraction = 0.25
+	// restartBurstFraction is the fraction of the burst that an entry starts with if it may
+	// have run before, because what its former incarnation admitted is unknown.
+	restartBurstFraction = 0.25
+	// restartRateSlack is the fraction of the rate that a workspace has to leave unused for
+	// an entry that started with a partial bucket to refuse it nothing.
+	restartRateSlack = 0.1
+	// recentUseTime is the time constant with which an entry's own recent use decays.
+	recentUseTime = 2 * time.Second
+	// reportFraction is the fraction of its equal share of a workspace's rate from which on
+	// an entry reports its use, and reportTime how long it continues. The use that entries do
+	// not report adds up to at most that fraction of the rate.
+	reportFraction = 1.0 / 8
+	reportTime     = 10 * time.Second
+	// accountIdleTime is how long an unused account is kept.
+	accountIdleTime = time.Minute
+	// silenceTimeout is how long after its last report an entry counts as heard, and
+	// countInterval the pause between two counts of these entries.
 	silenceTimeout = 800 * time.Millisecond
 	countInterval  = 100 * time.Millisecond
-	// paceTime is the time constant of the pace at which another entry uses a workspace.
-	paceTime = time.Second
-	// defaultWindow is the span of the tolerance if none is set.
+	// peerRateTime is the time constant with which the rate is averaged at which another
+	// entry uses a workspace.
+	peerRateTime = time.Second
+	// defaultWindow is the window of a tolerance that sets none.
 	defaultWindow = 10 * time.Second
-	// sweepInterval is the pause between two looks for idle accounts.
+	// sweepInterval is the pause between two searches for idle accounts.
 	sweepInterval = 10 * time.Second
 )
 
-// Limit bounds what is counted under one ID, a workspace's tokens or an endpoint's requests:
-// so many a second, plus a burst.
+// Limit bounds what is counted under one ID, the tokens of a workspace or the requests to an
+// endpoint: a rate per second plus a burst.
 type Limit struct {
 	Rate  float64
 	Burst float64
-	// Tolerance is what is tolerated beyond the limit; nil for the ledger's.
+	// Tolerance is what is tolerated beyond the limit; nil for that of the ledger.
 	Tolerance *Tolerance
 }
 
 // Unlimited reports whether there is no limit.
 func (l Limit) Unlimited() bool { return l.Rate <= 0 }
 
-// Tolerance is what the deployment tolerates beyond the limits, in any span of Window:
-// Overrun as a part of the limit, and Slack tokens.
+// Tolerance is what the deployment tolerates beyond a limit in any span of Window: Overrun as
+// a fraction of the limit, plus Slack tokens.
 type Tolerance struct {
 	Window  time.Duration
 	Overrun float64
@@ -75,160 +77,161 @@
 	return t
 }
 
-// withoutBurst returns the tolerance of a limit without a burst for one that gets one: the burst
-// is part of what is tolerated.
+// withoutBurst returns the tolerance for a limit that gets a burst although none was
+// advertised: the burst is part of what is tolerated.
 func (t Tolerance) withoutBurst(burst float64) *Tolerance {
 	t = t.withDefaults()
 	t.Slack = max(t.Slack-burst*(1+t.Overrun), 0)
 	return &t
 }
 
-// share returns the part of a limit that a part of the entries may use on its own so
-// that all such parts together stay within the tolerance.
+// share returns the share of a limit that a fraction of the entries may use on its own, such
+// that all such groups together stay within the tolerance.
 func (t Tolerance) share(l Limit, entries float64) float64 {
-	tolerated := t.owed(l) + t.beyond(l)
+	tolerated := t.allowed(l) + t.excess(l)
 	admitted := l.Rate*t.Window.Seconds() + t.depth(l)
-	return min(entries*max(unheardMargin*tolerated/admitted, 1), 1)
+	return min(entries*max(partitionMargin*tolerated/admitted, 1), 1)
 }
 
-// owed is what a limit allows in a window.
-func (t Tolerance) owed(l Limit) float64 { return l.Rate*t.Window.Seconds() + l.Burst }
+// allowed returns what a limit allows in a window.
+func (t Tolerance) allowed(l Limit) float64 { return l.Rate*t.Window.Seconds() + l.Burst }
 
-// beyond is what is tolerated beyond that.
-func (t Tolerance) beyond(l Limit) float64 { return t.owed(l)*t.Overrun + t.Slack }
+// excess returns what is tolerated beyond that in a window.
+func (t Tolerance) excess(l Limit) float64 { return t.allowed(l)*t.Overrun + t.Slack }
 
-// depth is what a bucket holds. Beside the burst it takes a part of the tolerance, so that
-// replicas that lag behind each other refuse little of what is owed; over the long run a
-// workspace gets its rate all the same.
+// depth returns the capacity of a bucket. In addition to the burst it contains a part of the
+// tolerance, so that replicas that lag behind each other refuse little that the limit allows.
+// In the long run a workspace still gets only its rate.
 func (t Tolerance) depth(l Limit) float64 {
-	return l.Burst + min(l.Burst, depthShare*t.beyond(l))
+	return l.Burst + min(l.Burst, toleranceDepthFraction*t.excess(l))
 }
 
-// Ledger is what an entry knows of the use of workspaces. It is safe for concurrent use.
+// Ledger holds an entry's view of the use of workspaces and endpoints. It is safe for
+// concurrent use.
 type Ledger struct {
-	mu     sync.Mutex
-	set    Settings
-	limits map[ID]Limit
-	// endpointTolerance goes with the limits that endpoints name, which are in stated.
+	mu       sync.Mutex
+	settings Settings
+	limits   map[ID]Limit
+	// endpointTolerance applies to endpointLimits, which endpoints advertise.
 	endpointTolerance *Tolerance
-	stated            map[ID]*stated
+	endpointLimits    map[ID]*endpointLimitState
 	accounts          map[ID]*account
 	peers             map[string]*peer
-	census            census
-	// reachable is the number of entries heard at counted, this one included.
-	reachable int
-	counted   time.Time
-	swept     time.Time
-	rnd       *rand.Rand
+	fleet             fleetSize
+	// reachable is the number of entries heard at reachableAt, this one included.
+	reachable   int
+	reachableAt time.Time
+	swept       time.Time
+	rnd         *rand.Rand
 }
 
-// Settings are those of a Ledger.
+// Settings configure a Ledger.
 type Settings struct {
 	// Tolerance is what is tolerated beyond the limits of workspaces, EndpointTolerance
-	// beyond those that endpoints name.
+	// beyond those that endpoints advertise.
 	Tolerance, EndpointTolerance Tolerance
-	// Started is when the process began. Restarted says that it may have run before, so
-	// that a former incarnation may have used its part just now.
+	// Started is when the process started. Restarted says that the entry may have run before,
+	// so that a former incarnation may have used its share just now.
 	Started   time.Time
 	Restarted bool
-	// Alone says that there are no other entries, unless SetEntries tells of some.
+	// Alone says that there are no other entries, unless SetEntries says otherwise.
 	Alone bool
-	// Seed is that of what is drawn by chance.
+	// Seed seeds the random refusals.
 	Seed uint64
 }
 
 // NewLedger returns an empty Ledger.
-func NewLedger(set Settings) *Ledger {
-	set.Tolerance = set.Tolerance.withDefaults()
+func NewLedger(settings Settings) *Ledger {
+	settings.Tolerance = settings.Tolerance.withDefaults()
 	return &Ledger{
-		set: set, endpointTolerance: set.EndpointTolerance.withoutBurst(statedBurst),
-		census: newCensus(set.Restarted && !set.Alone),
-		limits: make(map[ID]Limit), stated: make(map[ID]*stated), accounts: make(map[ID]*account), peers: make(map[string]*peer),
-		rnd: rand.New(rand.NewPCG(set.Seed, set.Seed)),
+		settings: settings, endpointTolerance: settings.EndpointTolerance.withoutBurst(endpointLimitBurst),
+		fleet:  newFleetSize(settings.Restarted && !settings.Alone),
+		limits: make(map[ID]Limit), endpointLimits: make(map[ID]*endpointLimitState), accounts: make(map[ID]*account), peers: make(map[string]*peer),
+		rnd: rand.New(rand.NewPCG(settings.Seed, settings.Seed)),
 	}
 }
 
-// SetTolerance changes what is tolerated.
+// SetTolerance replaces the tolerance for the limits of workspaces.
 func (l *Ledger) SetTolerance(t Tolerance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.set.Tolerance = t.withDefaults()
+	l.settings.Tolerance = t.withDefaults()
 }
 
-// SetLimits replaces the limits; workspaces without one are unlimited. The caller must
-// not change the map any more.
+// SetLimits replaces the limits; workspaces without one are unlimited. The caller must not
+// modify the map afterwards.
 func (l *Ledger) SetLimits(limits map[ID]Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limits = limits
 }
 
-// SetEntries tells the most entries that there were lately, this one included; zero if
-// that is unknown, and nothing that is limited is admitted then.
+// SetEntries sets the largest fleet size lately, this entry included. Zero means unknown:
+// nothing that has a limit is admitted then.
 func (l *Ledger) SetEntries(fleetSize int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.census.set(fleetSize)
+	l.fleet.update(fleetSize)
 }
 
-// account is this entry's replica of a workspace's bucket, and its own use.
+// account is this entry's replica of a bucket, together with its own use.
 type account struct {
 	bucket *rate.Limiter
-	// full is the bucket's limit and depth what it holds, share the part of both that is in
-	// force.
+	// full is the whole limit and depth the capacity of the whole bucket; share is the share
+	// of both in force.
 	full  Limit
 	depth float64
 	share float64
-	// taken and returned count this entry's own use since telling began.
+	// taken and returned count this entry's own use since the current epoch began.
 	taken, returned uint64
-	// recent is the own use of late.
-	recent fading
-	// began is when the account was made, and start what its bucket held then.
-	began time.Time
-	start float64
-	// rest is the part of a token that was not taken from the bucket yet.
-	rest float64
-	// pace is at which others are expected to use the workspace, in tokens a second, and
-	// expected until when that is taken from the bucket.
-	pace     float64
-	expected time.Time
-	// announceUntil is until when the own use is told others, epoch how often that began.
-	announceUntil time.Time
-	epoch         uint32
-	used          time.Time
-}
-
-// Verdict is the answer to Take.
-type Verdict struct {
+	// recent is this entry's own recent use.
+	recent decayingSum
+	// created is when the account was created, and initial what its whole bucket held then.
+	created time.Time
+	initial float64
+	// remainder is the fraction of a token that has not been taken from the bucket yet.
+	remainder float64
+	// expectedRate is the rate at which others are expected to use the workspace, in tokens a
+	// second, and expectedThrough the time up to which that has been taken from the bucket.
+	expectedRate    float64
+	expectedThrough time.Time
+	// reportUntil is until when the own use is reported, epoch how often reporting began.
+	reportUntil time.Time
+	epoch       uint32
+	lastUsed    time.Time
+}
+
+// Decision is the result of Take.
+type Decision struct {
 	OK bool
-	// Counted says that there is a limit, so that what is not used is to be returned.
+	// Counted says that there is a limit, so that what is not used has to be returned.
 	Counted bool
-	// Wait is how long until the workspace surely has room again if nobody else uses it.
+	// Wait is how long until the workspace is certain to be admitted if nobody else uses it.
 	Wait time.Duration
-	// Level is what the bucket holds in tokens, negative for a debt; for the log.
+	// Level is the level of the bucket in tokens, negative for a debt; it is for the log.
 	Level float64
-	// Share is the part of the limit in force; below 1 entries are not heard.
+	// Share is the share of the limit in force; it is below 1 while entries are not heard.
 	Share float64
 }
 
-// Take asks to admit a request of a workspace that counts as some tokens. A bucket that
-// holds any serves a request of any size, so that large ones are not refused for being
-// large.
-func (l *Ledger) Take(now time.Time, workspace ID, tokens int) Verdict {
+// Take decides whether to admit a request of a workspace that costs a number of tokens. A
+// bucket that is not empty admits a request of any size, so that large requests are not
+// refused for their size.
+func (l *Ledger) Take(now time.Time, workspace ID, tokens int) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	limit, limited := l.limitOf(workspace)
 	if !limited {
-		return Verdict{OK: true, Share: 1}
+		return Decision{OK: true, Share: 1}
 	}
-	if l.census.unknown() {
-		return Verdict{}
+	if l.fleet.unknown() {
+		return Decision{}
 	}
 	l.sweep(now)
 	a := l.account(now, workspace, limit)
-	a.expect(now)
+	a.chargeExpected(now)
 	level := a.bucket.TokensAt(now)
-	v := Verdict{OK: l.admits(now, a, level), Counted: true, Level: level, Share: a.share}
+	v := Decision{OK: l.admits(now, a, level), Counted: true, Level: level, Share: a.share}
 	if !v.OK {
 		v.Wait = l.wait(now, a, level)
 		return v
@@ -236,30 +239,31 @@
 	a.spend(now, float64(tokens))
 	a.taken += uint64(tokens)
 	a.recent.add(now, float64(tokens))
-	l.announce(now, a)
+	l.startReporting(now, a)
 	return v
 }
 
-// admits decides by what a bucket holds. Below earlyShare of it requests are refused with a
-// chance that grows as it empties: were all admitted until it is empty, entries that hear of
-// each other late would admit a surge each time that it holds some again; l.mu is held.
+// admits decides by the level of a bucket. Below refusalThreshold requests are refused with a
+// probability that grows as the bucket empties. If all were admitted until it is empty,
+// entries that learn late of each other's use would admit a surge each time it holds some
+// tokens again. The caller holds l.mu.
 func (l *Ledger) admits(now time.Time, a *account, level float64) bool {
-	early := a.early(now, a.share)
+	early := a.refusalThreshold(now, a.share)
 	if level >= early {
 		return level > 0
 	}
 	return level > l.rnd.Float64()*early
 }
 
-// early is what a bucket of a part of the limit holds at least while it admits all. For one that
-// started with little it rises no faster than the bucket fills beside a load of all but
-// newcomerSlack.
-func (a *account) early(now time.Time, share float64) float64 {
-	risen := earlyShare*a.start + newcomerSlack*a.full.Rate*now.Sub(a.began).Seconds()
-	return min(earlyShare*a.depth, risen) * share
+// refusalThreshold returns the level from which on a bucket with a share of the limit admits
+// all requests. For an account that started with a partial bucket it rises no faster than the
+// bucket fills while restartRateSlack of the rate is unused.
+func (a *account) refusalThreshold(now time.Time, share float64) float64 {
+	risen := earlyRefusalFraction*a.initial + restartRateSlack*a.full.Rate*now.Sub(a.created).Seconds()
+	return min(earlyRefusalFraction*a.depth, risen) * share
 }
 
-// Return takes back what Take admitted, for a request that did not run.
+// Return returns the tokens of an admitted request that did not run.
 func (l *Ledger) Return(now time.Time, workspace ID, tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -272,66 +276,68 @@
 	a.recent.add(now, -float64(tokens))
 }
 
-// account returns a workspace's account with the limit in force; l.mu is held.
+// account returns a workspace's account with the limit in force. The caller holds l.mu.
 func (l *Ledger) account(now time.Time, workspace ID, limit Limit) *account {
-	l.settle(now)
+	l.settleFleetSize(now)
 	tolerance := l.toleranceOf(limit)
 	share, depth := l.share(now, limit), tolerance.depth(limit)
 	a := l.accounts[workspace]
 	if a == nil {
-		a = &account{began: now, expected: now, bucket: rate.NewLimiter(0, 0)}
+		a = &account{created: now, expectedThrough: now, bucket: rate.NewLimiter(0, 0)}
 		l.accounts[workspace] = a
-		a.limit(now, limit, depth, share)
-		a.fill(now, l.set.Restarted)
+		a.setLimit(now, limit, depth, share)
+		a.setInitialLevel(now, l.settings.Restarted)
 	}
-	a.used = now
-	a.limit(now, limit, depth, share)
+	a.lastUsed = now
+	a.setLimit(now, limit, depth, share)
 	return a
 }
 
-// toleranceOf returns what is tolerated beyond a limit; l.mu is held.
+// toleranceOf returns what is tolerated beyond a limit. The caller holds l.mu.
 func (l *Ledger) toleranceOf(limit Limit) Tolerance {
 	if limit.Tolerance != nil {
 		return *limit.Tolerance
 	}
-	return l.set.Tolerance
+	return l.settings.Tolerance
 }
 
-// share returns the part of a limit that is in force for the entries heard; l.mu is held.
+// share returns the share of a limit that is in force. The caller holds l.mu.
 func (l *Ledger) share(now time.Time, limit Limit) float64 {
-	return l.shareAmong(now, limit, l.census.assumed())
+	return l.shareAmong(now, limit, l.fleet.assumed())
 }
 
-// shareAmong returns the part of a limit for the entries heard of so many; l.mu is held.
+// shareAmong returns the share of a limit if the fleet has a number of entries. The caller
+// holds l.mu.
 func (l *Ledger) shareAmong(now time.Time, limit Limit, entries int) float64 {
-	l.count(now)
+	l.countReachable(now)
 	tolerance := l.toleranceOf(limit)
 	return tolerance.share(limit, float64(l.reachable)/float64(entries))
 }
 
-// count counts the entries heard, each countInterval; l.mu is held.
-func (l *Ledger) count(now time.Time) {
-	if now.Sub(l.counted) < countInterval {
+// countReachable counts the entries heard, at most once per countInterval. The caller holds
+// l.mu.
+func (l *Ledger) countReachable(now time.Time) {
+	if now.Sub(l.reachableAt) < countInterval {
 		return
 	}
-	l.reachable, l.counted = 1, now
+	l.reachable, l.reachableAt = 1, now
 	for _, p := range l.peers {
-		if now.Sub(p.at) <= silenceTimeout {
+		if now.Sub(p.lastHeard) <= silenceTimeout {
 			l.reachable++
 			continue
 		}
-		l.markLost(now, p)
+		l.markSilent(now, p)
 	}
 }
 
-// limit puts a part of a limit in force. A bucket holds one request at least, so that a
-// part that is small admits some.
-func (a *account) limit(now time.Time, full Limit, depth, share float64) {
+// setLimit puts a share of a limit in force. A bucket holds at least one token or
+// request, so that a small share still admits some.
+func (a *account) setLimit(now time.Time, full Limit, depth, share float64) {
 	if a.full == full && a.depth == depth && a.share == share {
 		return
 	}
 	if share < a.share {
-		// Each part of the entries has its part of what is left, or owed.
+		// Each partition of the fleet keeps its share of the level, or of the debt.
 		a.spend(now, a.bucket.TokensAt(now)*(1-share/a.share))
 	}
 	a.full, a.depth, a.share = full, depth, share
@@ -339,88 +345,92 @@
 	a.bucket.SetBurstAt(now, int(math.Ceil(max(depth*share, 1))))
 }
 
-// fill gives a new account what it starts with: all of its bucket, or a part of the burst.
-func (a *account) fill(now time.Time, restarted bool) {
-	a.start = a.depth
+// setInitialLevel fills the bucket of a new account: wholly, or after a restart with a
+// fraction of the burst.
+func (a *account) setInitialLevel(now time.Time, restarted bool) {
+	a.initial = a.depth
 	if restarted {
-		a.start = newcomerShare * a.full.Burst
+		a.initial = restartBurstFraction * a.full.Burst
 	}
-	a.spend(now, a.bucket.TokensAt(now)-a.start*a.share)
+	a.spend(now, a.bucket.TokensAt(now)-a.initial*a.share)
 }
 
-// expect takes from the bucket what others are expected to have used since it was last
-// asked: what they say comes late, and from one that is cut off not at all.
-func (a *account) expect(now time.Time) {
-	since := expectedFor(now, a.expected)
+// chargeExpected takes from the bucket what others are expected to have used since it was
+// last called. Their reports come late, and during a partition not at all.
+func (a *account) chargeExpected(now time.Time) {
+	since := expectedSeconds(now, a.expectedThrough)
 	if since <= 0 {
 		return
 	}
-	a.expected = now
-	a.spend(now, a.pace*since)
+	a.expectedThrough = now
+	a.spend(now, a.expectedRate*since)
 }
 
-// expectedFor is the time in seconds for which use is expected without a word.
-func expectedFor(now, since time.Time) float64 {
+// expectedSeconds returns the time in seconds for which use is expected without a report.
+func expectedSeconds(now, since time.Time) float64 {
 	return min(now.Sub(since), 2*silenceTimeout).Seconds()
 }
 
-// spend takes tokens from the bucket, also more than it holds, or returns them.
+// spend takes tokens from the bucket, even more than it holds. Negative tokens are returned
+// to it.
 func (a *account) spend(now time.Time, tokens float64) {
-	tokens += a.rest
+	tokens += a.remainder
 	whole := math.Floor(tokens)
-	a.rest = tokens - whole
+	a.remainder = tokens - whole
 	for burst := float64(a.bucket.Burst()); whole > burst; whole -= burst {
 		a.bucket.ReserveN(now, int(burst))
 	}
 	a.bucket.ReserveN(now, int(whole))
 }
 
-// fading is a sum that fades with recentTime.
-type fading struct {
+// decayingSum is a sum that decays exponentially with the time constant recentUseTime.
+type decayingSum struct {
 	sum float64
 	at  time.Time
 }
 
-func (f *fading) add(now time.Time, x float64) {
+func (f *decayingSum) add(now time.Time, x float64) {
 	f.sum, f.at = f.value(now)+x, now
 }
 
-func (f *fading) value(now time.Time) float64 {
-	return f.sum * math.Exp(-now.Sub(f.at).Seconds()/recentTime.Seconds())
+func (f *decayingSum) value(now time.Time) float64 {
+	return f.sum * math.Exp(-now.Sub(f.at).Seconds()/recentUseTime.Seconds())
 }
 
-func (f *fading) perSecond(now time.Time) float64 { return f.value(now) / recentTime.Seconds() }
+func (f *decayingSum) perSecond(now time.Time) float64 { return f.value(now) / recentUseTime.Seconds() }
 
-// wait is how long until an account whose bucket is at a level admits all; l.mu is held.
+// wait returns how long until an account whose bucket has a level admits all requests. The
+// caller holds l.mu.
 func (l *Ledger) wait(now time.Time, a *account, level float64) time.Duration {
 	wait := a.wait(now, level, a.share)
-	left, cautious := l.census.left(now)
+	left, cautious := l.fleet.cautionLeft(now)
 	if !cautious {
 		return wait
 	}
-	share := l.shareAmong(now, a.full, l.census.size)
+	share := l.shareAmong(now, a.full, l.fleet.size)
 	return min(wait, max(left, a.wait(now, level+l.withheld(now, a, share), share)))
 }
 
-// wait is how long until a bucket at a level admits all with a part of the limit.
+// wait returns how long until a bucket at a level admits all requests with a share of the
+// limit.
 func (a *account) wait(now time.Time, level, share float64) time.Duration {
-	return time.Duration(max(a.early(now, share)-level, 0) / (a.full.Rate * share) * float64(time.Second))
+	return time.Duration(max(a.refusalThreshold(now, share)-level, 0) / (a.full.Rate * share) * float64(time.Second))
 }
 
-// sweep forgets accounts and peers that were not used for a while; l.mu is held.
+// sweep drops accounts and peers that have been idle. The caller holds l.mu.
 func (l *Ledger) sweep(now time.Time) {
 	if now.Sub(l.swept) < sweepInterval {
 		return
 	}
 	l.swept = now
-	l.sweepStated(now)
+	l.sweepEndpointLimits(now)
 	for id, a := range l.accounts {
-		if now.Sub(a.used) > idleTime {
+		if now.Sub(a.lastUsed) > accountIdleTime {
 			delete(l.accounts, id)
 		}
 	}
 	for from, p := range l.peers {
-		if now.Sub(p.at) > peerLife {
+		if now.Sub(p.lastHeard) > peerRetention {
 			delete(l.peers, from)
 		}
 	}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -22,7 +22,7 @@
 	tolerance = quota.Tolerance{Window: 8 * time.Second, Overrun: 0.25, Slack: 190_000}
 )
 
-// tolerated is what may be admitted in a window of the tolerance.
+// tolerated returns what may be admitted in a window of the tolerance.
 func tolerated(l quota.Limit) float64 {
 	return (l.Rate*tolerance.Window.Seconds()+l.Burst)*(1+tolerance.Overrun) + tolerance.Slack
 }
@@ -32,17 +32,17 @@
 	*quota.Ledger
 	name        string
 	incarnation int
-	// cut is until when it hears nobody and nobody hears it, deaf until when it hears
-	// nobody.
-	cut, deaf time.Time
+	// cutUntil is until when the entry hears nobody and nobody hears it, deafUntil until when
+	// it hears nobody.
+	cutUntil, deafUntil time.Time
 }
 
-// fleet is entries that tell each other their use.
+// fleet is a set of entries that report their use to each other.
 type fleet struct {
 	entries  []*entry
 	admitted []admission
 	limits   map[quota.ID]quota.Limit
-	// tolerance is what the entries know of what is tolerated.
+	// tolerance is the tolerance that the entries are configured with.
 	tolerance quota.Tolerance
 	// refused counts requests that were not admitted.
 	refused int
@@ -54,10 +54,10 @@
 }
 
 func newFleet(n int, l quota.Limit) *fleet {
-	return newFleetTolerating(n, l, tolerance)
+	return newFleetWithTolerance(n, l, tolerance)
 }
 
-func newFleetTolerating(n int, l quota.Limit, tolerated quota.Tolerance) *fleet {
+func newFleetWithTolerance(n int, l quota.Limit, tolerated quota.Tolerance) *fleet {
 	f := &fleet{limits: map[quota.ID]quota.Limit{workspace: l}, tolerance: tolerated}
 	for i := range n {
 		f.entries = append(f.entries, &entry{name: fmt.Sprint(i)})
@@ -77,23 +77,23 @@
 	}
 }
 
-// exchange lets all that reach each other tell their use.
-func (f *fleet) exchange(now time.Time) {
-	f.exchangeWithin(now, func(int) int { return 0 })
+// exchangeUse lets all entries that reach each other report their use.
+func (f *fleet) exchangeUse(now time.Time) {
+	f.exchangeUseWithin(now, func(int) int { return 0 })
 }
 
-// exchangeWithin lets those of the same part tell each other their use.
-func (f *fleet) exchangeWithin(now time.Time, part func(i int) int) {
+// exchangeUseWithin lets the entries of the same partition report their use to each other.
+func (f *fleet) exchangeUseWithin(now time.Time, partition func(i int) int) {
 	for i, from := range f.entries {
-		if now.Before(from.cut) {
+		if now.Before(from.cutUntil) {
 			continue
 		}
-		news := from.News(now)
+		uses := from.OwnUse(now)
 		for j, to := range f.entries {
-			if to == from || part(i) != part(j) || now.Before(to.cut) || now.Before(to.deaf) {
+			if to == from || partition(i) != partition(j) || now.Before(to.cutUntil) || now.Before(to.deafUntil) {
 				continue
 			}
-			to.Hear(now, from.name, quota.Incarnation{byte(from.incarnation)}, news)
+			to.MergeUse(now, from.name, quota.Incarnation{byte(from.incarnation)}, uses)
 			to.SetEntries(len(f.entries))
 		}
 	}
@@ -107,8 +107,8 @@
 	f.admitted = append(f.admitted, admission{now, tokens})
 }
 
-// most returns the most that was admitted in any window.
-func (f *fleet) most(window time.Duration) (most int) {
+// maxAdmitted returns the most that was admitted in any window.
+func (f *fleet) maxAdmitted(window time.Duration) (most int) {
 	sum, from := 0, 0
 	for _, a := range f.admitted {
 		sum += a.tokens
@@ -121,7 +121,7 @@
 	return most
 }
 
-// total returns all that was admitted from a moment on.
+// total returns all that was admitted since a time.
 func (f *fleet) total(from time.Time) (sum int) {
 	for _, a := range f.admitted {
 		if !a.at.Before(from) {
@@ -131,27 +131,27 @@
 	return sum
 }
 
-// TestHotWorkspace: a workspace sends eight times its limit to all entries. It gets its
-// limit, not a part of it and not a multiple.
-func TestHotWorkspace(t *testing.T) {
+// TestWorkspaceAboveLimit: a workspace that sends eight times its limit to all entries gets
+// its limit, neither a fraction nor a multiple of it.
+func TestWorkspaceAboveLimit(t *testing.T) {
 	f := newFleet(27, limit)
 	const step = 10 * time.Millisecond
 	for d := time.Duration(0); d < 20*time.Second; d += step {
 		if d%(150*time.Millisecond) == 0 {
-			f.exchange(at(d))
+			f.exchangeUse(at(d))
 		}
 		f.take(at(d), int(d/step*7)%27, 3760)
 	}
-	assert.LessOrEqual(t, f.most(tolerance.Window), int(limit.Rate*8+limit.Burst)*5/4)
+	assert.LessOrEqual(t, f.maxAdmitted(tolerance.Window), int(limit.Rate*8+limit.Burst)*5/4)
 	assert.InEpsilon(t, limit.Rate*10, f.total(at(10*time.Second)), 0.1)
 }
 
-// TestBelowTheLimit: a workspace that keeps to its limit is refused nothing, also by one
-// entry that gets most of its requests, and by one that has just started.
-func TestBelowTheLimit(t *testing.T) {
+// TestWorkspaceBelowLimit: a workspace below its limit is refused nothing, even by an entry
+// that gets most of its requests and by one that has just started.
+func TestWorkspaceBelowLimit(t *testing.T) {
 	f := newFleet(27, limit)
 	for d := time.Duration(0); d < 20*time.Second; d += 100 * time.Millisecond {
-		f.exchange(at(d))
+		f.exchangeUse(at(d))
 		i := 0
 		if d%time.Second == 0 {
 			i = int(d / time.Second)
@@ -164,13 +164,13 @@
 	assert.Zero(t, f.refused)
 }
 
-// large is a limit beside which the slack of the tolerance is small.
-var large = quota.Limit{Rate: 1_000_000, Burst: 1_000_000}
+// largeLimit is a limit compared with which the slack of the tolerance is small.
+var largeLimit = quota.Limit{Rate: 1_000_000, Burst: 1_000_000}
 
-// TestAllRestarted: all entries are killed together again and again at the height of a hot
-// workspace's requests, and forget what it has used.
-func TestAllRestarted(t *testing.T) {
-	f := newFleet(27, large)
+// TestRepeatedFleetRestart guards against overuse when all entries are killed together
+// repeatedly at the peak of a workspace's load, and forget what it has used.
+func TestRepeatedFleetRestart(t *testing.T) {
+	f := newFleet(27, largeLimit)
 	const step = 5 * time.Millisecond
 	for d := time.Duration(0); d < 20*time.Second; d += step {
 		if d >= 6*time.Second && d < 14*time.Second && d%(2*time.Second) == 0 {
@@ -179,77 +179,77 @@
 			}
 		}
 		if d%(150*time.Millisecond) == 0 {
-			f.exchange(at(d))
+			f.exchangeUse(at(d))
 		}
 		f.take(at(d), int(d/step*7)%27, 40_000)
 	}
-	assert.LessOrEqual(t, float64(f.most(tolerance.Window)), tolerated(large))
+	assert.LessOrEqual(t, float64(f.maxAdmitted(tolerance.Window)), tolerated(largeLimit))
 }
 
-// TestCutApart: the entries are cut into parts that do not hear each other, down to single
-// ones, while a workspace sends a multiple of its limit to each.
-func TestCutApart(t *testing.T) {
-	for _, parts := range []int{2, 3, 9, 27} {
-		f := newFleet(27, large)
-		part := func(now time.Time, i int) int {
+// TestFleetPartition: the entries are split into partitions that do not hear each other, down
+// to single entries, while a workspace sends a multiple of its limit to each.
+func TestFleetPartition(t *testing.T) {
+	for _, partitions := range []int{2, 3, 9, 27} {
+		f := newFleet(27, largeLimit)
+		partition := func(now time.Time, i int) int {
 			if now.Before(at(6 * time.Second)) {
 				return 0
 			}
-			return i % parts
+			return i % partitions
 		}
 		const step = 5 * time.Millisecond
 		for d := time.Duration(0); d < 20*time.Second; d += step {
 			now := at(d)
 			if d%(150*time.Millisecond) == 0 {
-				f.exchangeWithin(now, func(i int) int { return part(now, i) })
+				f.exchangeUseWithin(now, func(i int) int { return partition(now, i) })
 			}
 			f.take(now, int(d/step*7)%27, 40_000)
 		}
-		assert.LessOrEqual(t, float64(f.most(tolerance.Window)), tolerated(large), "%d parts", parts)
+		assert.LessOrEqual(t, float64(f.maxAdmitted(tolerance.Window)), tolerated(largeLimit), "%d partitions", partitions)
 	}
 }
 
-// TestCutsAndRestarts: whatever is cut, deaf or restarted, all entries together stay
-// within what is tolerated.
-func TestCutsAndRestarts(t *testing.T) {
+// TestPartitionsAndRestarts: whichever entries are cut off, deaf or restarted, all together
+// stay within what is tolerated.
+func TestPartitionsAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 27).Draw(t, "entries")
 		l := limit
 		l.Rate *= float64(rapid.IntRange(1, 20).Draw(t, "size"))
 		l.Burst = l.Rate
 		f := newFleet(n, l)
-		now, told := at(0), at(0)
+		now, exchanged := at(0), at(0)
 		pick := func(name string) *entry { return f.entries[rapid.IntRange(0, n-1).Draw(t, name)] }
 		for range rapid.IntRange(50, 400).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 60).Draw(t, "what") {
 			case 0:
-				pick("cut").cut = now.Add(time.Duration(rapid.IntRange(1, 12).Draw(t, "s")) * time.Second)
+				pick("cut").cutUntil = now.Add(time.Duration(rapid.IntRange(1, 12).Draw(t, "s")) * time.Second)
 			case 1:
-				pick("deaf").deaf = now.Add(time.Duration(rapid.IntRange(1, 12).Draw(t, "s")) * time.Second)
+				pick("deaf").deafUntil = now.Add(time.Duration(rapid.IntRange(1, 12).Draw(t, "s")) * time.Second)
 			case 2:
 				f.restart(rapid.IntRange(0, n-1).Draw(t, "restarted"), true)
 			default:
 				f.take(now, rapid.IntRange(0, n-1).Draw(t, "entry"), rapid.IntRange(200, int(l.Rate)/3).Draw(t, "tokens"))
 			}
-			if now.Sub(told) >= 150*time.Millisecond {
-				f.exchange(now)
-				told = now
+			if now.Sub(exchanged) >= 150*time.Millisecond {
+				f.exchangeUse(now)
+				exchanged = now
 			}
 		}
-		assert.LessOrEqual(t, float64(f.most(tolerance.Window)), tolerated(l))
+		assert.LessOrEqual(t, float64(f.maxAdmitted(tolerance.Window)), tolerated(l))
 	})
 }
 
-// TestNewsInAnyOrder: reports are lost, repeated and come late, on connections that
-// replace each other. An entry's replica ends where it would have without.
-func TestNewsInAnyOrder(t *testing.T) {
+// TestUseReportsInAnyOrder: reports that are lost, repeated and late, on connections that
+// replace each other, leave an entry's replica at the same level as the last report alone.
+func TestUseReportsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from := newFleet(1, limit).entries[0]
 		got, want := newFleet(2, limit).entries[0], newFleet(2, limit).entries[0]
-		var said [][]quota.Use
+		var reports [][]quota.Use
 		now := start
-		hear := func(e *entry, news []quota.Use) { e.Hear(now, "from", quota.Incarnation{1}, news) }
+		hear := func(e *entry, uses []quota.Use) { e.MergeUse(now, "from", quota.Incarnation{1}, uses) }
 		hear(got, nil)
 		hear(want, nil)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -257,29 +257,28 @@
 			if rapid.Bool().Draw(t, "returned") {
 				from.Return(now, workspace, 1)
 			}
-			said = append(said, from.News(now))
-			hear(got, said[rapid.IntRange(0, len(said)-1).Draw(t, "heard")])
+			reports = append(reports, from.OwnUse(now))
+			hear(got, reports[rapid.IntRange(0, len(reports)-1).Draw(t, "heard")])
 		}
-		last := said[len(said)-1]
+		last := reports[len(reports)-1]
 		hear(got, last)
 		hear(want, last)
 		assert.InDelta(t, want.Take(now, workspace, 1).Level, got.Take(now, workspace, 1).Level, 1)
 	})
 }
 
-// TestUnknownFleet: an entry that starts and hears nobody does not know how many share a
-// limit, and must not admit all of it.
-func TestUnknownFleet(t *testing.T) {
+// TestUnknownFleetSize guards against an entry that starts, hears nobody, and admits a whole
+// limit that an unknown number of entries share.
+func TestUnknownFleetSize(t *testing.T) {
 	l := quota.NewLedger(quota.Settings{Tolerance: tolerance, Restarted: true})
 	l.SetLimits(map[quota.ID]quota.Limit{workspace: limit})
 	assert.False(t, l.Take(start, workspace, 200).OK)
 	assert.True(t, l.Take(start, quota.NewID("unlimited"), 200).OK)
 }
 
-// TestLoweredLimit: the operators lower a limit while it is used up; the new one holds at
-// once.
+// TestLoweredLimit: when operators lower a limit that is used up, the new one holds at once.
 func TestLoweredLimit(t *testing.T) {
-	f := newFleetTolerating(1, limit, quota.Tolerance{})
+	f := newFleetWithTolerance(1, limit, quota.Tolerance{})
 	low := quota.Limit{Rate: 1000, Burst: 1000}
 	for d := time.Duration(0); d < 20*time.Second; d += 10 * time.Millisecond {
 		if d == 10*time.Second {
@@ -292,30 +291,31 @@
 }
 
 // TestExactWithoutTolerance: where nothing is tolerated beyond a limit, a single entry admits
-// its rate and its burst, and one request beyond.
+// at most its rate, its burst and one request.
 func TestExactWithoutTolerance(t *testing.T) {
-	f := newFleetTolerating(1, limit, quota.Tolerance{})
+	f := newFleetWithTolerance(1, limit, quota.Tolerance{})
 	for d := time.Duration(0); d < 20*time.Second; d += 10 * time.Millisecond {
 		f.take(at(d), 0, 3000)
 	}
-	assert.LessOrEqual(t, f.most(tolerance.Window), int(limit.Rate*8+limit.Burst)+3000)
+	assert.LessOrEqual(t, f.maxAdmitted(tolerance.Window), int(limit.Rate*8+limit.Burst)+3000)
 }
 
-// TestReturned: requests that did not run, because there was no room, use up nothing.
-func TestReturned(t *testing.T) {
-	f := newFleetTolerating(2, limit, quota.Tolerance{})
+// TestReturnedTokens: requests that were admitted but did not run, for lack of capacity, use
+// up nothing.
+func TestReturnedTokens(t *testing.T) {
+	f := newFleetWithTolerance(2, limit, quota.Tolerance{})
 	for range 1000 {
 		v := f.entries[0].Take(start, workspace, 3000)
 		assert.True(t, v.OK)
 		f.entries[0].Return(start, workspace, 3000)
 	}
-	f.exchange(start)
+	f.exchangeUse(start)
 	assert.InDelta(t, limit.Burst, f.entries[1].Take(start, workspace, 1).Level, 1)
 }
 
-// TestSizesAlike: at its limit a workspace's large requests are refused as often as its
-// small ones.
-func TestSizesAlike(t *testing.T) {
+// TestRefusalIsIndependentOfSize: at its limit a workspace's large requests are refused as
+// often as its small ones.
+func TestRefusalIsIndependentOfSize(t *testing.T) {
 	f := newFleet(1, limit)
 	var admitted, asked [2]int
 	sizes := [2]int{200, 9000}
@@ -330,11 +330,11 @@
 	assert.InDelta(t, admitted[0], admitted[1], float64(asked[0])/10)
 }
 
-// TestWaitTellsWhenThereIsRoom: a refused caller that comes back after the time it was
-// told finds room if nobody else came.
-func TestWaitTellsWhenThereIsRoom(t *testing.T) {
+// TestWaitUntilAdmitted: a refused caller that comes back after the time it was told is
+// admitted if nobody else came.
+func TestWaitUntilAdmitted(t *testing.T) {
 	f := newFleet(1, limit)
-	v := quota.Verdict{OK: true}
+	v := quota.Decision{OK: true}
 	for v.OK {
 		v = f.entries[0].Take(start, workspace, 9000)
 	}
@@ -342,9 +342,9 @@
 	assert.True(t, f.entries[0].Take(start.Add(v.Wait+time.Millisecond), workspace, 9000).OK)
 }
 
-// TestNewsIsBounded: thousands of workspaces are used a little. Only those that use a good
-// part of their limit are told of.
-func TestNewsIsBounded(t *testing.T) {
+// TestReportedUseIsBounded: of thousands of workspaces with little use, only those that use a
+// large fraction of their limit are reported.
+func TestReportedUseIsBounded(t *testing.T) {
 	l := quota.NewLedger(quota.Settings{Tolerance: tolerance})
 	l.SetEntries(920)
 	limits := make(map[quota.ID]quota.Limit)
@@ -355,19 +355,19 @@
 	for i := range 14_000 {
 		l.Take(start, quota.NewID(fmt.Sprint(i)), 10)
 	}
-	assert.Empty(t, l.News(start))
+	assert.Empty(t, l.OwnUse(start))
 	for i := range 1000 {
 		l.Take(start, quota.NewID(fmt.Sprint(i)), 5000)
 	}
-	assert.LessOrEqual(t, len(l.News(start)), 64)
+	assert.LessOrEqual(t, len(l.OwnUse(start)), 64)
 }
 
-// TestDebtIsPaid: an entry hears late of what another one admitted, five seconds' worth of
-// the limit. It admits nothing until that is made up for, and no longer.
-func TestDebtIsPaid(t *testing.T) {
-	e := newFleetTolerating(2, limit, quota.Tolerance{}).entries[0]
-	e.Hear(start, "1", quota.Incarnation{1}, nil)
-	e.Hear(start, "1", quota.Incarnation{1}, []quota.Use{{Workspace: workspace, Epoch: 1, Taken: uint64(limit.Burst + 5*limit.Rate)}})
+// TestDebtDelaysAdmission: an entry that learns late of another's use, five seconds' worth of
+// the limit, admits nothing until the debt is paid, and no longer.
+func TestDebtDelaysAdmission(t *testing.T) {
+	e := newFleetWithTolerance(2, limit, quota.Tolerance{}).entries[0]
+	e.MergeUse(start, "1", quota.Incarnation{1}, nil)
+	e.MergeUse(start, "1", quota.Incarnation{1}, []quota.Use{{Workspace: workspace, Epoch: 1, Taken: uint64(limit.Burst + 5*limit.Rate)}})
 	for d := time.Duration(0); d < 5*time.Second; d += 500 * time.Millisecond {
 		assert.False(t, e.Take(at(d), workspace, 200).OK, d)
 	}
--- a/quota/restart_test.go
+++ b/quota/restart_test.go
@@ -10,54 +10,55 @@
 	"ebonypulley/quota"
 )
 
-// TestRestartedTogether: all entries are restarted at the height of a workspace's load, and each
-// hears of the others step by step, in the best case twice as many each 100 ms. Until then each
-// group takes itself for the whole fleet.
-func TestRestartedTogether(t *testing.T) {
-	restartTogether(t, 100*time.Millisecond, 300*time.Millisecond, time.Second)
+// TestSimultaneousRestart guards against overuse when all entries are restarted at the peak
+// of a workspace's load. Each learns of the others step by step, in the best case of twice as
+// many every 100 ms, and until then each group would take itself for the whole fleet.
+func TestSimultaneousRestart(t *testing.T) {
+	testSimultaneousRestart(t, 100*time.Millisecond, 300*time.Millisecond, time.Second)
 }
 
-// restartTogether wants the use within what is tolerated when groups of entries double in some
-// time.
-func restartTogether(t *testing.T, times ...time.Duration) {
+// testSimultaneousRestart checks that the use stays within what is tolerated when the groups
+// of entries that know each other double once per time.
+func testSimultaneousRestart(t *testing.T, times ...time.Duration) {
 	for _, rate := range []float64{47_000, 126_000, 400_000} {
-		for _, doubles := range times {
+		for _, doubling := range times {
 			for _, entries := range []int{9, 27, 68} {
-				t.Run(fmt.Sprintf("%.0f, %d entries, twice as many known each %v", rate, entries, doubles), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%.0f, %d entries, doubling every %v", rate, entries, doubling), func(t *testing.T) {
 					t.Parallel()
 					l := quota.Limit{Rate: rate, Burst: rate}
-					f := playRestartedTogether(entries, l, doubles)
-					t.Logf("%.2f of what is tolerated", float64(f.most(tolerance.Window))/tolerated(l))
-					assert.LessOrEqual(t, float64(f.most(tolerance.Window)), tolerated(l))
+					f := runStaggeredRestart(entries, l, doubling)
+					t.Logf("%.2f of what is tolerated", float64(f.maxAdmitted(tolerance.Window))/tolerated(l))
+					assert.LessOrEqual(t, float64(f.maxAdmitted(tolerance.Window)), tolerated(l))
 				})
 			}
 		}
 	}
 }
 
-// playRestartedTogether sends a workspace eight times its limit. Six seconds on all entries are
-// restarted, in groups that double.
-func playRestartedTogether(entries int, l quota.Limit, doubles time.Duration) *fleet {
-	return playRestarted(entries, l, doubles, 8)
+// runStaggeredRestart sends a workspace eight times its limit. After six seconds all entries
+// are restarted, and know each other in groups that double.
+func runStaggeredRestart(entries int, l quota.Limit, doubling time.Duration) *fleet {
+	return runRestart(entries, l, doubling, 8)
 }
 
-// playRestarted sends a workspace a multiple of its limit and restarts all entries after six
-// seconds, in groups that double in some time, or all known at once for zero.
-func playRestarted(entries int, l quota.Limit, doubles time.Duration, load float64) *fleet {
-	const step, tell, restart, last = 5 * time.Millisecond, 150 * time.Millisecond, 6 * time.Second, 16 * time.Second
+// runRestart sends a workspace a multiple of its limit, and after six seconds restarts all
+// entries. They know each other in groups that double once per time, or all at once if that
+// is zero.
+func runRestart(entries int, l quota.Limit, doubling time.Duration, load float64) *fleet {
+	const step, interval, restart, last = 5 * time.Millisecond, 150 * time.Millisecond, 6 * time.Second, 16 * time.Second
 	f := newFleet(entries, l)
 	for d := time.Duration(0); d < last; d += step {
 		known := entries
-		if d >= restart && doubles > 0 {
-			known = min(entries, 2<<min(int((d-restart)/doubles), 10))
+		if d >= restart && doubling > 0 {
+			known = min(entries, 2<<min(int((d-restart)/doubling), 10))
 		}
 		if d == restart {
 			for i := range f.entries {
 				f.restart(i, true)
 			}
 		}
-		if d%tell == 0 {
-			f.exchangeWithin(at(d), func(i int) int { return i / known })
+		if d%interval == 0 {
+			f.exchangeUseWithin(at(d), func(i int) int { return i / known })
 			for _, e := range f.entries {
 				e.SetEntries(known)
 			}
@@ -67,21 +68,21 @@
 	return f
 }
 
-// served returns the tokens admitted in the second after a moment.
+// served returns the tokens admitted in the second that begins at a time.
 func (f *fleet) served(from time.Duration) float64 {
 	return float64(f.total(at(from)) - f.total(at(from+time.Second)))
 }
 
-// TestBelowTheLimitAfterARestart: all entries are restarted and know each other at once. A
-// workspace below its limit must be refused next to nothing in any second.
-func TestBelowTheLimitAfterARestart(t *testing.T) {
-	const lost = 0.02 // part of the limit
+// TestBelowLimitAfterRestart: when all entries are restarted and know each other at once, a
+// workspace below its limit is refused next to nothing in any second.
+func TestBelowLimitAfterRestart(t *testing.T) {
+	const lost = 0.02 // fraction of the limit
 	l := quota.Limit{Rate: 126_000, Burst: 126_000}
 	for _, entries := range []int{9, 40, 150} {
 		for _, load := range []float64{0.5, 0.7, 0.9} {
 			t.Run(fmt.Sprintf("%d entries, %.1f of the limit", entries, load), func(t *testing.T) {
 				t.Parallel()
-				f := playRestarted(entries, l, 0, load)
+				f := runRestart(entries, l, 0, load)
 				for second := 6 * time.Second; second < 16*time.Second; second += time.Second {
 					assert.GreaterOrEqual(t, f.served(second), (load-lost)*l.Rate, second)
 				}
--- a/quota/size_test.go
+++ b/quota/size_test.go
@@ -12,38 +12,39 @@
 	"ebonypulley/quota"
 )
 
-// Sizes of what is told, in bytes: the frame of a message, one ID's use in it, and a question
-// with its answer.
+// Sizes of messages in bytes: the frame, the use of one ID in it, and a request with its
+// response.
 const (
-	frameBytes = 60
-	useBytes   = 16
-	askBytes   = 120
+	frameBytes     = 60
+	useBytes       = 16
+	roundTripBytes = 120
 )
 
-// The load of a fleet at size: workspaces near their limits, some of them far above.
+// The load of a large fleet: workspaces near their limits, some of them far above.
 const (
-	hotWorkspaces = 30
-	pressing      = 3
-	pressedBy     = 6
-	requestTokens = 1000
-	peersMost     = 96
-	dataCentres   = 10
+	hotWorkspaces        = 30
+	overloadedWorkspaces = 3
+	overloadFactor       = 6
+	requestTokens        = 1000
+	maxPeers             = 96
+	dataCentres          = 10
 )
 
-// atSize is a way to keep limits over very many entries.
-type atSize interface {
+// fleetLimiter is an algorithm that enforces limits over a large fleet.
+type fleetLimiter interface {
 	take(now time.Time, entry, workspace int) bool
-	tell(now time.Time)
-	// cut splits the entries into two halves from now on; restart replaces all processes.
-	cut()
+	exchange(now time.Time)
+	// partition splits the entries into two halves from now on; restart replaces all
+	// processes.
+	partition()
 	restart(now time.Time)
-	// bytes is what one entry sends, in the mean and at most.
-	bytes() (mean, most float64)
+	// bytesSent returns what one entry sends, on average and at most.
+	bytesSent() (mean, most float64)
 }
 
 type meter []float64
 
-func (m meter) bytes() (mean, most float64) {
+func (m meter) bytesSent() (mean, most float64) {
 	for _, b := range m {
 		mean += b / float64(len(m))
 		most = max(most, b)
@@ -61,16 +62,16 @@
 
 func hotID(w int) quota.ID { return quota.NewID(fmt.Sprint(w)) }
 
-// ledgers are the entries' replicas.
+// ledgers holds the replicas of the entries.
 type ledgers struct {
 	meter
 	all         []*quota.Ledger
 	incarnation byte
-	parts       int
+	partitions  int
 }
 
 func newLedgers(n int) *ledgers {
-	l := &ledgers{meter: make(meter, n), all: make([]*quota.Ledger, n), parts: 1}
+	l := &ledgers{meter: make(meter, n), all: make([]*quota.Ledger, n), partitions: 1}
 	l.start(n, false)
 	return l
 }
@@ -88,21 +89,21 @@
 	return l.all[entry].Take(now, hotID(w), requestTokens).OK
 }
 
-func (l *ledgers) cut() { l.parts = 2 }
+func (l *ledgers) partition() { l.partitions = 2 }
 
-// drawnPeers tell a part of the others, drawn by pairs, all they use.
-type drawnPeers struct {
+// randomPeers reports all use to a random selection of the other entries.
+type randomPeers struct {
 	*ledgers
 	peers [][]int
 	next  time.Time
 }
 
-func newDrawnPeers(n int) atSize {
-	d := &drawnPeers{ledgers: newLedgers(n), peers: make([][]int, n)}
+func newRandomPeers(n int) fleetLimiter {
+	d := &randomPeers{ledgers: newLedgers(n), peers: make([][]int, n)}
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for i := range n {
 		for _, j := range rnd.Perm(n) {
-			if j != i && len(d.peers[i]) < peersMost {
+			if j != i && len(d.peers[i]) < maxPeers {
 				d.peers[i] = append(d.peers[i], j)
 			}
 		}
@@ -110,46 +111,46 @@
 	return d
 }
 
-func (d *drawnPeers) restart(time.Time) { d.start(len(d.all), true) }
+func (d *randomPeers) restart(time.Time) { d.start(len(d.all), true) }
 
-func (d *drawnPeers) tell(now time.Time) {
+func (d *randomPeers) exchange(now time.Time) {
 	if now.Before(d.next) {
 		return
 	}
 	d.next = now.Add(max(150*time.Millisecond, time.Duration(len(d.peers[0]))*time.Second/300))
 	for i, from := range d.all {
-		news := from.News(now)
+		uses := from.OwnUse(now)
 		for _, j := range d.peers[i] {
-			if i%d.parts != j%d.parts {
+			if i%d.partitions != j%d.partitions {
 				continue
 			}
-			d.meter[i] += float64(frameBytes + useBytes*len(news))
-			d.all[j].Hear(now, fmt.Sprint(i), quota.Incarnation{d.incarnation}, news)
+			d.meter[i] += float64(frameBytes + useBytes*len(uses))
+			d.all[j].MergeUse(now, fmt.Sprint(i), quota.Incarnation{d.incarnation}, uses)
 		}
 	}
 }
 
-// sums by data centre: one entry of each collects the use of an ID, exchanges it with those of the
-// others and tells the whole back.
-type sums struct {
+// dataCentreSums aggregates by data centre: one entry of each collects the use of an ID,
+// exchanges it with those of the other data centres and distributes the total.
+type dataCentreSums struct {
 	*ledgers
 	next time.Time
 	// taken is what each entry used of each workspace since its start.
 	taken [][hotWorkspaces]uint64
 }
 
-func newSums(n int) atSize {
-	s := &sums{ledgers: newLedgers(n), taken: make([][hotWorkspaces]uint64, n)}
-	s.start(2, false) // the entry and the sum of all others
+func newDataCentreSums(n int) fleetLimiter {
+	s := &dataCentreSums{ledgers: newLedgers(n), taken: make([][hotWorkspaces]uint64, n)}
+	s.start(2, false) // the entry itself and the sum of all others
 	return s
 }
 
-func (s *sums) restart(time.Time) {
+func (s *dataCentreSums) restart(time.Time) {
 	s.start(2, true)
 	s.taken = make([][hotWorkspaces]uint64, len(s.all))
 }
 
-func (s *sums) take(now time.Time, entry, w int) bool {
+func (s *dataCentreSums) take(now time.Time, entry, w int) bool {
 	ok := s.ledgers.take(now, entry, w)
 	if ok {
 		s.taken[entry][w] += requestTokens
@@ -159,16 +160,16 @@
 
 const sumInterval = 300 * time.Millisecond
 
-func (s *sums) tell(now time.Time) {
+func (s *dataCentreSums) exchange(now time.Time) {
 	if now.Before(s.next) {
 		return
 	}
 	s.next = now.Add(sumInterval)
-	total := make([][hotWorkspaces]uint64, s.parts)
+	total := make([][hotWorkspaces]uint64, s.partitions)
 	centre := (len(s.all) + dataCentres - 1) / dataCentres
 	for i := range s.all {
 		for w, taken := range s.taken[i] {
-			total[i%s.parts][w] += taken
+			total[i%s.partitions][w] += taken
 			if taken > 0 {
 				s.meter[i] += frameBytes + useBytes
 			}
@@ -181,39 +182,39 @@
 		}
 	}
 	for i, to := range s.all {
-		var news []quota.Use
-		for w, sum := range total[i%s.parts] {
-			news = append(news, quota.Use{Workspace: hotID(w), Epoch: 1, Taken: sum - s.taken[i][w]})
+		var uses []quota.Use
+		for w, sum := range total[i%s.partitions] {
+			uses = append(uses, quota.Use{Workspace: hotID(w), Epoch: 1, Taken: sum - s.taken[i][w]})
 		}
-		to.Hear(now, "relay", quota.Incarnation{s.incarnation}, news)
+		to.MergeUse(now, "relay", quota.Incarnation{s.incarnation}, uses)
 	}
 }
 
-// owners decide on each request to a workspace of theirs; without the owner an entry has an equal
-// part.
-type owners struct {
+// bucketOwners has one owner of each workspace decide on every request; an entry that does
+// not reach the owner uses an equal share.
+type bucketOwners struct {
 	meter
-	n       int
-	buckets map[[2]int]*rate.Limiter
-	parts   int
+	n          int
+	buckets    map[[2]int]*rate.Limiter
+	partitions int
 }
 
-func newOwners(n int) atSize {
-	return &owners{meter: make(meter, n), n: n, buckets: make(map[[2]int]*rate.Limiter), parts: 1}
+func newBucketOwners(n int) fleetLimiter {
+	return &bucketOwners{meter: make(meter, n), n: n, buckets: make(map[[2]int]*rate.Limiter), partitions: 1}
 }
 
-func (o *owners) cut()                { o.parts = 2 }
-func (o *owners) tell(time.Time)      {}
-func (o *owners) restart(_ time.Time) { clear(o.buckets) }
+func (o *bucketOwners) partition()          { o.partitions = 2 }
+func (o *bucketOwners) exchange(time.Time)  {}
+func (o *bucketOwners) restart(_ time.Time) { clear(o.buckets) }
 
-func (o *owners) take(now time.Time, entry, w int) bool {
+func (o *bucketOwners) take(now time.Time, entry, w int) bool {
 	owner := w * 29 % o.n
 	key, share := [2]int{w, -1}, 1.0
-	if entry%o.parts != owner%o.parts {
+	if entry%o.partitions != owner%o.partitions {
 		key, share = [2]int{w, entry}, 1/float64(o.n)
 	}
-	o.meter[entry] += askBytes / 2
-	o.meter[owner] += askBytes / 2
+	o.meter[entry] += roundTripBytes / 2
+	o.meter[owner] += roundTripBytes / 2
 	b := o.buckets[key]
 	if b == nil {
 		b = rate.NewLimiter(rate.Limit(limit.Rate*share), max(int(limit.Burst*share), 1))
@@ -222,30 +223,31 @@
 	return spend(b, now, requestTokens)
 }
 
-// sizeResult is what a way did with the worst workspace.
-type sizeResult struct {
+// scaleResult is the result for the worst workspace.
+type scaleResult struct {
 	overrun, served float64
 	mean, most      float64
 }
 
-// playSize plays the load; what happens in the middle is "", "cut" or "restart".
-func playSize(w atSize, entries int, middle string) sizeResult {
+// runAtScale applies the load; middle is what happens halfway: "steady", "partition" or
+// "restart".
+func runAtScale(w fleetLimiter, entries int, middle string) scaleResult {
 	const step, lasting = 10 * time.Millisecond, 16 * time.Second
 	rnd := rand.New(rand.NewPCG(3, 3))
 	fleets := make([]fleet, hotWorkspaces)
 	for d := time.Duration(0); d < lasting; d += step {
 		now := at(d)
-		w.tell(now)
-		if d == lasting/2 && middle == "cut" {
-			w.cut()
+		w.exchange(now)
+		if d == lasting/2 && middle == "partition" {
+			w.partition()
 		}
 		if d == lasting/2 && middle == "restart" {
 			w.restart(now)
 		}
 		for id := range hotWorkspaces {
 			factor := 1.0
-			if id < pressing {
-				factor = pressedBy
+			if id < overloadedWorkspaces {
+				factor = overloadFactor
 			}
 			mean := limit.Rate * factor * step.Seconds() / requestTokens
 			for n := poisson(rnd, mean); n > 0; n-- {
@@ -255,12 +257,12 @@
 			}
 		}
 	}
-	r := sizeResult{served: math.Inf(1)}
+	r := scaleResult{served: math.Inf(1)}
 	for id := range fleets {
-		r.overrun = max(r.overrun, float64(fleets[id].most(tolerance.Window))/tolerated(limit))
+		r.overrun = max(r.overrun, float64(fleets[id].maxAdmitted(tolerance.Window))/tolerated(limit))
 		r.served = min(r.served, float64(fleets[id].total(start))/(limit.Rate*lasting.Seconds()))
 	}
-	r.mean, r.most = w.bytes()
+	r.mean, r.most = w.bytesSent()
 	r.mean, r.most = r.mean/lasting.Seconds(), r.most/lasting.Seconds()
 	return r
 }
@@ -272,19 +274,20 @@
 	return n
 }
 
-// BenchmarkWaysAtSize compares ways to keep limits over 27 to 920 entries: the most in a window in
-// parts of what is tolerated, the least share served of a limit, and bytes a second an entry.
-func BenchmarkWaysAtSize(b *testing.B) {
-	ways := []struct {
+// BenchmarkLimiterAlgorithms compares ways to enforce limits over 27 to 920 entries: the
+// highest use in a window relative to what is tolerated, the lowest share of a limit served,
+// and the bytes per second and entry.
+func BenchmarkLimiterAlgorithms(b *testing.B) {
+	limiters := []struct {
 		name string
-		make func(int) atSize
-	}{{"drawn peers", newDrawnPeers}, {"sums by data centre", newSums}, {"owners", newOwners}}
+		make func(int) fleetLimiter
+	}{{"random peers", newRandomPeers}, {"sums by data centre", newDataCentreSums}, {"bucket owners", newBucketOwners}}
 	for _, entries := range []int{27, 68, 300, 920} {
-		for _, middle := range []string{"calm", "cut", "restart"} {
-			for _, w := range ways {
+		for _, middle := range []string{"steady", "partition", "restart"} {
+			for _, w := range limiters {
 				b.Run(fmt.Sprintf("%d entries/%s/%s", entries, middle, w.name), func(b *testing.B) {
 					for b.Loop() {
-						r := playSize(w.make(entries), entries, middle)
+						r := runAtScale(w.make(entries), entries, middle)
 						b.ReportMetric(r.overrun, "overrun")
 						b.ReportMetric(r.served, "served")
 						b.ReportMetric(r.mean, "B/s-mean")
--- a/quota/stated.go
+++ b/quota/stated.go
@@ -9,135 +9,143 @@
 )
 
 const (
-	// statedBurst is the burst, in requests, of a limit that an endpoint names, which
-	// names none.
-	statedBurst = 1
-	// statedLeast is the rate, in requests a second, at which an endpoint is asked whose
-	// limit is lower: only an answer tells that the limit is over.
-	statedLeast = 0.1
-	// maxStatements bounds the statements that are told at a time, the newest first.
-	maxStatements = 64
-	// statementLife is how long a statement is told others.
-	statementLife = 3 * time.Second
-	// statedLife is how long a limit holds of which nothing is heard.
-	statedLife = 10 * time.Minute
-	// freshTime is how long after a change of a limit others are told of it soon.
-	freshTime = time.Second
+	// endpointLimitBurst is the burst, in requests, of the limits that endpoints advertise,
+	// which specify none.
+	endpointLimitBurst = 1
+	// minEndpointRate is the rate, in requests a second, at which requests are sent to an
+	// endpoint even if its limit is lower, because only an answer can show that the limit is
+	// lifted.
+	minEndpointRate = 0.1
+	// maxEndpointLimits bounds the limits that are reported at a time; the newest come first.
+	maxEndpointLimits = 64
+	// endpointLimitReportTime is how long a limit is reported to others.
+	endpointLimitReportTime = 3 * time.Second
+	// endpointLimitRetention is how long a limit stays in force without further answers.
+	endpointLimitRetention = 10 * time.Minute
+	// limitChangeTime is how long after a change of a limit others need to learn of it soon.
+	limitChangeTime = time.Second
 )
 
 // EndpointID returns the ID under which the requests to an endpoint are counted.
 func EndpointID(endpoint string) ID { return ID(xxhash.Sum64String("endpoint\x00" + endpoint)) }
 
-// Statement is what an endpoint says of its limit in an answer.
+// Statement is the limit that an endpoint advertises in an answer, or that it advertises
+// none.
 type Statement struct {
 	Endpoint ID
-	// Named says that it names a limit, PerSecond how many requests it takes then.
+	// Named says that it advertises a limit, PerSecond the requests a second that it then
+	// accepts.
 	Named     bool
 	PerSecond float64
-	// Age is how old the statement is.
+	// Age is how long ago that was.
 	Age time.Duration
 }
 
-// stated is the newest statement of an endpoint that named a limit before.
-type stated struct {
-	named bool
-	limit Limit
-	// perSecond is the limit as it was named.
+// endpointLimitState is the latest state of an endpoint that advertises a limit or did so
+// before.
+type endpointLimitState struct {
+	advertised bool
+	limit      Limit
+	// perSecond is the limit as advertised.
 	perSecond float64
-	// at is when a limit was named, or when that was asked which was answered without.
-	at time.Time
-	// own is when an answer last came to this entry, changed when the limit last changed.
-	own, changed time.Time
+	// validAt is when the limit was advertised; without a limit, when the request was sent
+	// whose answer had none.
+	validAt time.Time
+	// lastOwn is when an answer last came to this entry, changed when the limit last changed.
+	lastOwn, changed time.Time
 }
 
-// State takes what an endpoint says in an answer to what was asked at a time. It reports
-// whether that changes its limit.
+// State applies what an endpoint advertises in the answer to a request that was sent at
+// asked. It reports whether that changes the endpoint's limit.
 func (l *Ledger) State(now, asked time.Time, s Statement) (changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := now
+	validAt := now
 	if !s.Named {
-		at = asked
+		validAt = asked
 	}
-	if l.stated[s.Endpoint] == nil && !s.Named {
-		return false // it has no limit, like most
+	if l.endpointLimits[s.Endpoint] == nil && !s.Named {
+		return false // like most endpoints, it has no limit
 	}
-	changed = l.state(now, at, s)
-	l.stated[s.Endpoint].own = now
+	changed = l.applyEndpointLimit(now, validAt, s)
+	l.endpointLimits[s.Endpoint].lastOwn = now
 	return changed
 }
 
-// state takes a statement made at a time, unless a newer one is known; l.mu is held.
+// applyEndpointLimit applies a limit, or its absence, that was valid at a time, unless a
+// newer one is known. The caller holds l.mu.
 //
-// An answer without a limit was on its way when another one named a limit. That the limit is
-// over is known only from what was asked after it was named.
-func (l *Ledger) state(now, at time.Time, s Statement) (changed bool) {
-	known := l.stated[s.Endpoint]
+// An answer without a limit may already have been on its way when another one advertised the
+// limit. Only an answer to a request sent after that shows that the limit is lifted.
+func (l *Ledger) applyEndpointLimit(now, validAt time.Time, s Statement) (changed bool) {
+	known := l.endpointLimits[s.Endpoint]
 	switch {
 	case known == nil:
-		known = new(stated)
-		l.stated[s.Endpoint] = known
-	case !at.After(known.at):
+		known = new(endpointLimitState)
+		l.endpointLimits[s.Endpoint] = known
+	case !validAt.After(known.validAt):
 		return false
 	}
-	changed = known.named != s.Named || known.perSecond != s.PerSecond
-	known.named, known.perSecond, known.at = s.Named, s.PerSecond, at
-	known.limit = Limit{Rate: max(s.PerSecond, statedLeast), Burst: statedBurst, Tolerance: l.endpointTolerance}
+	changed = known.advertised != s.Named || known.perSecond != s.PerSecond
+	known.advertised, known.perSecond, known.validAt = s.Named, s.PerSecond, validAt
+	known.limit = Limit{Rate: max(s.PerSecond, minEndpointRate), Burst: endpointLimitBurst, Tolerance: l.endpointTolerance}
 	if changed {
 		known.changed = now
 	}
 	return changed
 }
 
-// Statements returns what is to be told others of what endpoints said to this entry.
-func (l *Ledger) Statements(now time.Time) []Statement {
+// OwnEndpointLimits returns the limits advertised to this entry that are to be reported to
+// others.
+func (l *Ledger) OwnEndpointLimits(now time.Time) []Statement {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []Statement
-	for id, s := range l.stated {
-		if now.Sub(s.own) <= statementLife {
-			list = append(list, Statement{Endpoint: id, Named: s.named, PerSecond: s.perSecond, Age: now.Sub(s.at)})
+	for id, s := range l.endpointLimits {
+		if now.Sub(s.lastOwn) <= endpointLimitReportTime {
+			list = append(list, Statement{Endpoint: id, Named: s.advertised, PerSecond: s.perSecond, Age: now.Sub(s.validAt)})
 		}
 	}
 	slices.SortFunc(list, func(a, b Statement) int {
 		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
-	return list[:min(len(list), maxStatements)]
+	return list[:min(len(list), maxEndpointLimits)]
 }
 
-// HearStatements takes what endpoints said to another entry.
-func (l *Ledger) HearStatements(now time.Time, list []Statement) {
+// MergeEndpointLimits merges the limits advertised to another entry.
+func (l *Ledger) MergeEndpointLimits(now time.Time, list []Statement) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range list {
-		l.state(now, now.Add(-max(s.Age, 0)), s)
+		l.applyEndpointLimit(now, now.Add(-max(s.Age, 0)), s)
 	}
 }
 
-// fresh reports whether an endpoint's limit has just changed; l.mu is held.
-func (l *Ledger) fresh(now time.Time) bool {
-	for _, s := range l.stated {
-		if now.Sub(s.changed) <= freshTime {
+// limitChanged reports whether an endpoint's limit has just changed. The caller holds l.mu.
+func (l *Ledger) limitChanged(now time.Time) bool {
+	for _, s := range l.endpointLimits {
+		if now.Sub(s.changed) <= limitChangeTime {
 			return true
 		}
 	}
 	return false
 }
 
-// limitOf returns the limit under which an ID is counted; l.mu is held.
+// limitOf returns the limit under which an ID is counted. The caller holds l.mu.
 func (l *Ledger) limitOf(id ID) (Limit, bool) {
-	if s := l.stated[id]; s != nil {
-		return s.limit, s.named
+	if s := l.endpointLimits[id]; s != nil {
+		return s.limit, s.advertised
 	}
 	limit := l.limits[id]
 	return limit, !limit.Unlimited()
 }
 
-// sweepStated forgets the limits of which nothing was heard for long; l.mu is held.
-func (l *Ledger) sweepStated(now time.Time) {
-	for id, s := range l.stated {
-		if now.Sub(s.at) > statedLife {
-			delete(l.stated, id)
+// sweepEndpointLimits drops limits that have not been confirmed for long. The caller holds
+// l.mu.
+func (l *Ledger) sweepEndpointLimits(now time.Time) {
+	for id, s := range l.endpointLimits {
+		if now.Sub(s.validAt) > endpointLimitRetention {
+			delete(l.endpointLimits, id)
 		}
 	}
 }
--- a/quota/stated_test.go
+++ b/quota/stated_test.go
@@ -12,23 +12,23 @@
 
 var endpoint = quota.EndpointID("e")
 
-func counted(l *quota.Ledger, now time.Time) bool { return l.Take(now, endpoint, 0).Counted }
+func limited(l *quota.Ledger, now time.Time) bool { return l.Take(now, endpoint, 0).Counted }
 
-// TestLimitIsNotEndedByAnOlderAnswer: an answer that was under way before an endpoint named its
-// limit comes after the one that names it, and ends the limit.
-func TestLimitIsNotEndedByAnOlderAnswer(t *testing.T) {
+// TestOlderAnswerDoesNotLiftLimit guards against a limit that is lifted by an answer which
+// was already on its way when the endpoint advertised the limit, and arrives after it.
+func TestOlderAnswerDoesNotLiftLimit(t *testing.T) {
 	l := quota.NewLedger(quota.Settings{})
 	l.SetEntries(1)
 	l.State(at(time.Second), at(900*time.Millisecond), quota.Statement{Endpoint: endpoint, Named: true, PerSecond: 2})
 	l.State(at(1100*time.Millisecond), at(950*time.Millisecond), quota.Statement{Endpoint: endpoint})
-	assert.True(t, counted(l, at(1200*time.Millisecond)))
+	assert.True(t, limited(l, at(1200*time.Millisecond)))
 	l.State(at(1300*time.Millisecond), at(1200*time.Millisecond), quota.Statement{Endpoint: endpoint})
-	assert.False(t, counted(l, at(1400*time.Millisecond)))
+	assert.False(t, limited(l, at(1400*time.Millisecond)))
 }
 
-// TestStatementsInAnyOrder: what endpoints said is told late, twice and in any order. The newest
-// statement holds.
-func TestStatementsInAnyOrder(t *testing.T) {
+// TestEndpointLimitsInAnyOrder: limits are reported late, twice and in any order; the newest
+// one holds.
+func TestEndpointLimitsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := quota.NewLedger(quota.Settings{})
 		l.SetEntries(2)
@@ -36,17 +36,18 @@
 		now := at(time.Minute)
 		for _, second := range rapid.SliceOfN(rapid.IntRange(0, 30), 1, 40).Draw(t, "seconds") {
 			s := quota.Statement{Endpoint: endpoint, Named: second%3 != 0, PerSecond: float64(second), Age: time.Minute - time.Duration(second)*time.Second}
-			l.HearStatements(now, []quota.Statement{s})
+			l.MergeEndpointLimits(now, []quota.Statement{s})
 			if second > newest {
 				newest, named = second, s.Named
 			}
 		}
-		assert.Equal(t, named, counted(l, now))
+		assert.Equal(t, named, limited(l, now))
 	})
 }
 
-// TestLimitOfNothing: an endpoint takes nothing at all, and nobody learns when that is over.
-func TestLimitOfNothing(t *testing.T) {
+// TestEndpointLimitOfZero guards against an endpoint that accepts nothing at all, so that
+// nobody learns when its limit is lifted.
+func TestEndpointLimitOfZero(t *testing.T) {
 	l := quota.NewLedger(quota.Settings{})
 	l.SetEntries(1)
 	l.State(start, start, quota.Statement{Endpoint: endpoint, Named: true})
@@ -60,13 +61,13 @@
 	assert.LessOrEqual(t, sent, 12, "one in 4 s is far below what is tolerated")
 }
 
-// TestUnheardKeepsALimit: an entry that was restarted and hears nobody must not send an endpoint
-// that names a limit anything, for as many as there are may do the same; it sends to others, and
-// to this one as soon as it hears of anybody.
-func TestUnheardKeepsALimit(t *testing.T) {
+// TestIsolatedEntryKeepsEndpointLimit guards against a restarted entry that hears nobody and
+// sends requests to an endpoint with a limit, while any number of entries may do the same. It
+// uses other endpoints, and this one as soon as it hears of another entry.
+func TestIsolatedEntryKeepsEndpointLimit(t *testing.T) {
 	l := quota.NewLedger(quota.Settings{EndpointTolerance: quota.Tolerance{Window: 4 * time.Second, Overrun: 0.5, Slack: 5}, Restarted: true})
 	limited, other := quota.EndpointID("limited"), quota.EndpointID("other")
-	l.HearStatements(start, []quota.Statement{{Endpoint: limited, Named: true, PerSecond: 2}})
+	l.MergeEndpointLimits(start, []quota.Statement{{Endpoint: limited, Named: true, PerSecond: 2}})
 	assert.False(t, l.Take(start, limited, 1).OK)
 	assert.True(t, l.Take(start, other, 1).OK)
 	l.SetEntries(2)
