--- a/quota/ways_test.go
+++ b/quota/ways_test.go
@@ -13,40 +13,43 @@
 	"ebonypulley/quota"
 )
 
-// way is one way to keep a limit over several entries without shared state.
-type way interface {
+// limiter is an algorithm that enforces a limit over several entries without shared state.
+type limiter interface {
 	take(now time.Time, entry, tokens int) bool
-	// tell lets the entries tell each other; reaches says who hears whom.
-	tell(now time.Time, reaches func(from, to int) bool)
+	// exchange lets the entries report to each other; reaches reports whether a message
+	// arrives.
+	exchange(now time.Time, reaches func(from, to int) bool)
 	// restart replaces the process of an entry.
 	restart(now time.Time, entry int)
 }
 
-const wayEntries = 27
+const limiterEntries = 27
 
-// equalParts gives each entry the same part of the limit.
-type equalParts struct {
-	buckets [wayEntries]*rate.Limiter
+// equalShares gives each entry the same share of the limit.
+type equalShares struct {
+	buckets [limiterEntries]*rate.Limiter
 	limit   quota.Limit
 }
 
-func newEqualParts(l quota.Limit) way {
-	w := &equalParts{limit: l}
+func newEqualShares(l quota.Limit) limiter {
+	w := &equalShares{limit: l}
 	for i := range w.buckets {
 		w.restart(start, i)
 	}
 	return w
 }
 
-func (w *equalParts) restart(_ time.Time, i int) {
-	w.buckets[i] = rate.NewLimiter(rate.Limit(w.limit.Rate/wayEntries), int(w.limit.Burst/wayEntries))
+func (w *equalShares) restart(_ time.Time, i int) {
+	w.buckets[i] = rate.NewLimiter(rate.Limit(w.limit.Rate/limiterEntries), int(w.limit.Burst/limiterEntries))
 }
 
-func (w *equalParts) tell(time.Time, func(int, int) bool) {}
+func (w *equalShares) exchange(time.Time, func(int, int) bool) {}
 
-func (w *equalParts) take(now time.Time, i, tokens int) bool { return spend(w.buckets[i], now, tokens) }
+func (w *equalShares) take(now time.Time, i, tokens int) bool {
+	return spend(w.buckets[i], now, tokens)
+}
 
-// spend takes tokens from a bucket that holds any.
+// spend takes tokens from a bucket that is not empty.
 func spend(b *rate.Limiter, now time.Time, tokens int) bool {
 	if b.TokensAt(now) <= 0 {
 		return false
@@ -58,102 +61,107 @@
 	return true
 }
 
-// demand is what each entry was asked for lately, and what it heard of others.
+// demand is the recent demand at each entry, and what it was told about the others.
 type demand struct {
-	asked [wayEntries]float64
-	heard [wayEntries][wayEntries]float64
-	at    [wayEntries]time.Time
+	own      [limiterEntries]float64
+	reported [limiterEntries][limiterEntries]float64
+	at       [limiterEntries]time.Time
 }
 
-func (d *demand) ask(now time.Time, i, tokens int) {
-	d.fade(now, i)
-	d.asked[i] += float64(tokens)
+func (d *demand) add(now time.Time, i, tokens int) {
+	d.decay(now, i)
+	d.own[i] += float64(tokens)
 }
 
-func (d *demand) fade(now time.Time, i int) {
+func (d *demand) decay(now time.Time, i int) {
 	if since := now.Sub(d.at[i]).Seconds(); since > 0 {
-		d.asked[i] *= max(1-since, 0)
+		d.own[i] *= max(1-since, 0)
 	}
 	d.at[i] = now
 }
 
-func (d *demand) tell(now time.Time, reaches func(int, int) bool) {
-	for i := range wayEntries {
-		d.fade(now, i)
-		for j := range wayEntries {
+func (d *demand) exchange(now time.Time, reaches func(int, int) bool) {
+	for i := range limiterEntries {
+		d.decay(now, i)
+		for j := range limiterEntries {
 			if i != j && reaches(i, j) {
-				d.heard[j][i] = d.asked[i]
+				d.reported[j][i] = d.own[i]
 			}
 		}
 	}
 }
 
-// total is what an entry believes is asked for in a second.
+// total returns the demand per second over all entries as one entry knows it.
 func (d *demand) total(i int) (sum float64) {
-	for j, x := range d.heard[i] {
+	for j, x := range d.reported[i] {
 		if j != i {
 			sum += x
 		}
 	}
-	return sum + d.asked[i]
+	return sum + d.own[i]
 }
 
-// proportionalParts gives each entry the part of the limit that its demand has of all.
-type proportionalParts struct {
+// demandShares gives each entry a share of the limit in proportion to its demand.
+type demandShares struct {
 	demand
-	equalParts
+	equalShares
 }
 
-func newProportionalParts(l quota.Limit) way {
-	w := &proportionalParts{}
-	w.equalParts = *newEqualParts(l).(*equalParts)
+func newDemandShares(l quota.Limit) limiter {
+	w := &demandShares{}
+	w.equalShares = *newEqualShares(l).(*equalShares)
 	return w
 }
 
-func (w *proportionalParts) restart(now time.Time, i int) {
-	w.equalParts.restart(now, i)
-	w.asked[i], w.heard[i] = 0, [wayEntries]float64{}
+func (w *demandShares) restart(now time.Time, i int) {
+	w.equalShares.restart(now, i)
+	w.own[i], w.reported[i] = 0, [limiterEntries]float64{}
 }
 
-func (w *proportionalParts) tell(now time.Time, reaches func(int, int) bool) {
-	w.demand.tell(now, reaches)
+func (w *demandShares) exchange(now time.Time, reaches func(int, int) bool) {
+	w.demand.exchange(now, reaches)
 }
 
-func (w *proportionalParts) take(now time.Time, i, tokens int) bool {
-	w.ask(now, i, tokens)
-	share := (w.asked[i] + 1) / (w.total(i) + wayEntries)
+func (w *demandShares) take(now time.Time, i, tokens int) bool {
+	w.add(now, i, tokens)
+	share := (w.own[i] + 1) / (w.total(i) + limiterEntries)
 	w.buckets[i].SetLimitAt(now, rate.Limit(w.limit.Rate*share))
 	w.buckets[i].SetBurstAt(now, int(max(w.limit.Burst*share, 1)))
 	return spend(w.buckets[i], now, tokens)
 }
 
-// randomDrop refuses with the probability of the excess of all demand.
+// randomDrop refuses requests with the probability by which the total demand exceeds the
+// limit.
 type randomDrop struct {
 	demand
 	limit quota.Limit
 	rnd   *rand.Rand
 }
 
-func newRandomDrop(l quota.Limit) way {
+func newRandomDrop(l quota.Limit) limiter {
 	return &randomDrop{limit: l, rnd: rand.New(rand.NewPCG(1, 2))}
 }
 
-func (w *randomDrop) restart(_ time.Time, i int) { w.asked[i], w.heard[i] = 0, [wayEntries]float64{} }
+func (w *randomDrop) restart(_ time.Time, i int) {
+	w.own[i], w.reported[i] = 0, [limiterEntries]float64{}
+}
 
-func (w *randomDrop) tell(now time.Time, reaches func(int, int) bool) { w.demand.tell(now, reaches) }
+func (w *randomDrop) exchange(now time.Time, reaches func(int, int) bool) {
+	w.demand.exchange(now, reaches)
+}
 
 func (w *randomDrop) take(now time.Time, i, tokens int) bool {
-	w.ask(now, i, tokens)
+	w.add(now, i, tokens)
 	return w.rnd.Float64()*w.total(i) < w.limit.Rate
 }
 
-// lentByOwner has one entry lend the tokens of a workspace in batches; an entry that does
-// not reach it has an equal part.
-type lentByOwner struct {
-	equalParts
-	owner   *rate.Limiter
-	lent    [wayEntries]int
-	reaches func(from, to int) bool
+// leasedTokens has one entry lease the tokens of a workspace to the others in batches; an
+// entry that does not reach it uses an equal share.
+type leasedTokens struct {
+	equalShares
+	owner     *rate.Limiter
+	leased    [limiterEntries]int
+	reachable func(from, to int) bool
 }
 
 const (
@@ -161,41 +169,41 @@
 	batch = 4000
 )
 
-func newLentByOwner(l quota.Limit) way {
-	w := &lentByOwner{reaches: func(int, int) bool { return true }}
-	w.equalParts = *newEqualParts(l).(*equalParts)
+func newLeasedTokens(l quota.Limit) limiter {
+	w := &leasedTokens{reachable: func(int, int) bool { return true }}
+	w.equalShares = *newEqualShares(l).(*equalShares)
 	w.owner = rate.NewLimiter(rate.Limit(l.Rate), int(l.Burst))
 	return w
 }
 
-func (w *lentByOwner) restart(now time.Time, i int) {
-	w.equalParts.restart(now, i)
-	w.lent[i] = 0
+func (w *leasedTokens) restart(now time.Time, i int) {
+	w.equalShares.restart(now, i)
+	w.leased[i] = 0
 	if i == owner {
 		w.owner = rate.NewLimiter(rate.Limit(w.limit.Rate), int(w.limit.Burst))
 	}
 }
 
-func (w *lentByOwner) tell(_ time.Time, reaches func(int, int) bool) { w.reaches = reaches }
+func (w *leasedTokens) exchange(_ time.Time, reaches func(int, int) bool) { w.reachable = reaches }
 
-func (w *lentByOwner) take(now time.Time, i, tokens int) bool {
-	if i != owner && !w.reaches(i, owner) {
-		return w.equalParts.take(now, i, tokens)
+func (w *leasedTokens) take(now time.Time, i, tokens int) bool {
+	if i != owner && !w.reachable(i, owner) {
+		return w.equalShares.take(now, i, tokens)
 	}
-	for w.lent[i] < tokens && spend(w.owner, now, batch) {
-		w.lent[i] += batch
+	for w.leased[i] < tokens && spend(w.owner, now, batch) {
+		w.leased[i] += batch
 	}
-	if w.lent[i] < tokens {
+	if w.leased[i] < tokens {
 		return false
 	}
-	w.lent[i] -= tokens
+	w.leased[i] -= tokens
 	return true
 }
 
-// replicas is the way of this package.
+// replicas is the algorithm of this package.
 type replicas struct{ f *fleet }
 
-func newReplicas(l quota.Limit) way { return &replicas{newFleet(wayEntries, l)} }
+func newReplicas(l quota.Limit) limiter { return &replicas{newFleet(limiterEntries, l)} }
 
 func (w *replicas) restart(_ time.Time, i int) { w.f.restart(i, true) }
 
@@ -203,37 +211,38 @@
 	return w.f.entries[i].Take(now, workspace, tokens).OK
 }
 
-func (w *replicas) tell(now time.Time, reaches func(int, int) bool) {
+func (w *replicas) exchange(now time.Time, reaches func(int, int) bool) {
 	for i, from := range w.f.entries {
-		news := from.News(now)
+		uses := from.OwnUse(now)
 		for j, to := range w.f.entries {
 			if i != j && reaches(i, j) {
-				to.Hear(now, from.name, quota.Incarnation{byte(from.incarnation)}, news)
-				to.SetEntries(wayEntries)
+				to.MergeUse(now, from.name, quota.Incarnation{byte(from.incarnation)}, uses)
+				to.SetEntries(limiterEntries)
 			}
 		}
 	}
 }
 
-// load is a pattern under which ways are compared.
-type load struct {
+// scenario is a load under which the algorithms are compared.
+type scenario struct {
 	name string
-	// factor is the demand in limits, skewed that most of it comes to one entry.
+	// factor is the demand as a multiple of the limit, skewed that most of it comes to one
+	// entry.
 	factor float64
 	skewed bool
-	// late is the pause between what entries tell.
-	late time.Duration
-	// parts is into how many the entries are cut from the fifth second on.
-	parts int
-	// from is when that begins.
-	from time.Duration
-	// restarts says that all entries are restarted each other second from the fifth on.
+	// exchangeInterval is the pause between two exchanges.
+	exchangeInterval time.Duration
+	// partitions is the number of partitions from the fifth second on.
+	partitions int
+	// partitionDelay delays the start of the partitions.
+	partitionDelay time.Duration
+	// restarts says that all entries are restarted every two seconds from the fifth on.
 	restarts bool
 }
 
-// play returns the greatest use in a window in parts of what is tolerated, and the share
-// served of what the limit allows.
-func (p load) play(w way, l quota.Limit) (overrun, served float64) {
+// run returns the highest use in a window relative to what is tolerated, and the share served
+// of what the limit allows.
+func (p scenario) run(w limiter, l quota.Limit) (overrun, served float64) {
 	const step, last = 5 * time.Millisecond, 20 * time.Second
 	f := &fleet{}
 	tokens := int(l.Rate * p.factor * step.Seconds())
@@ -241,17 +250,17 @@
 	asked := 0
 	for d := time.Duration(0); d < last; d += step {
 		now := at(d)
-		cut := p.parts > 1 && d >= 5*time.Second+p.from
-		reaches := func(from, to int) bool { return !cut || from%p.parts == to%p.parts }
-		if d%p.late == 0 {
-			w.tell(now, reaches)
+		partitioned := p.partitions > 1 && d >= 5*time.Second+p.partitionDelay
+		reaches := func(from, to int) bool { return !partitioned || from%p.partitions == to%p.partitions }
+		if d%p.exchangeInterval == 0 {
+			w.exchange(now, reaches)
 		}
 		if p.restarts && d >= 5*time.Second && d%(2*time.Second) == 0 {
-			for i := range wayEntries {
+			for i := range limiterEntries {
 				w.restart(now, i)
 			}
 		}
-		i := rnd.IntN(wayEntries)
+		i := rnd.IntN(limiterEntries)
 		if p.skewed && rnd.IntN(10) > 0 {
 			i = 3
 		}
@@ -261,36 +270,37 @@
 		}
 	}
 	allowed := min(float64(asked), l.Rate*last.Seconds()+l.Burst)
-	return float64(f.most(tolerance.Window)) / tolerated(l), float64(f.total(start)) / allowed
+	return float64(f.maxAdmitted(tolerance.Window)) / tolerated(l), float64(f.total(start)) / allowed
 }
 
-// TestWays compares ways to keep a limit under the loads of a fleet: the replicated bucket
-// must stay within what is tolerated under all of them and serve what the limit allows.
-func TestWays(t *testing.T) {
-	const soon = 150 * time.Millisecond
-	loads := []load{
-		{name: "below the limit", factor: 0.6, late: soon, parts: 1},
-		{name: "below, most at one entry", factor: 0.6, skewed: true, late: soon, parts: 1},
-		{name: "eight times the limit", factor: 8, late: soon, parts: 1},
-		{name: "eight times, most at one entry", factor: 8, skewed: true, late: soon, parts: 1},
-		{name: "eight times, news of half a second", factor: 8, late: 500 * time.Millisecond, parts: 1},
-		{name: "eight times, cut in 3", factor: 8, late: soon, parts: 3},
-		{name: "eight times, cut in 27", factor: 8, late: soon, parts: 27},
-		{name: "eight times, restarts", factor: 8, late: soon, parts: 1, restarts: true},
-		{name: "below, cut in 3", factor: 0.6, late: soon, parts: 3},
+// TestLimiterAlgorithms compares ways to enforce a limit under the loads of a fleet. The
+// replicated bucket must stay within what is tolerated under all of them, and serve what the
+// limit allows.
+func TestLimiterAlgorithms(t *testing.T) {
+	const interval = 150 * time.Millisecond
+	loads := []scenario{
+		{name: "below the limit", factor: 0.6, exchangeInterval: interval, partitions: 1},
+		{name: "below, most at one entry", factor: 0.6, skewed: true, exchangeInterval: interval, partitions: 1},
+		{name: "eight times the limit", factor: 8, exchangeInterval: interval, partitions: 1},
+		{name: "eight times, most at one entry", factor: 8, skewed: true, exchangeInterval: interval, partitions: 1},
+		{name: "eight times, slow exchange", factor: 8, exchangeInterval: 500 * time.Millisecond, partitions: 1},
+		{name: "eight times, 3 partitions", factor: 8, exchangeInterval: interval, partitions: 3},
+		{name: "eight times, 27 partitions", factor: 8, exchangeInterval: interval, partitions: 27},
+		{name: "eight times, restarts", factor: 8, exchangeInterval: interval, partitions: 1, restarts: true},
+		{name: "below, 3 partitions", factor: 0.6, exchangeInterval: interval, partitions: 3},
 	}
-	ways := []struct {
+	limiters := []struct {
 		name string
-		make func(quota.Limit) way
+		make func(quota.Limit) limiter
 	}{
-		{"equal parts", newEqualParts}, {"parts by demand", newProportionalParts}, {"drop of the excess", newRandomDrop},
-		{"lent by an owner", newLentByOwner}, {"replicas", newReplicas},
+		{"equal shares", newEqualShares}, {"shares by demand", newDemandShares}, {"random drop", newRandomDrop},
+		{"leased by an owner", newLeasedTokens}, {"replicas", newReplicas},
 	}
 	var table strings.Builder
 	for _, p := range loads {
 		fmt.Fprintf(&table, "\n%-32s", p.name)
-		for _, w := range ways {
-			overrun, served := p.play(w.make(large), large)
+		for _, w := range limiters {
+			overrun, served := p.run(w.make(largeLimit), largeLimit)
 			fmt.Fprintf(&table, " | %s %.2f %.2f", w.name, overrun, served)
 			if w.name == "replicas" {
 				assert.LessOrEqual(t, overrun, 1.0, p.name)
@@ -301,17 +311,17 @@
 	t.Log(table.String())
 }
 
-// TestCutAtAnyMoment: the entries are cut apart at any moment of a hot workspace's load, also
-// when all have just admitted much, or little.
-func TestCutAtAnyMoment(t *testing.T) {
+// TestPartitionAtAnyMoment: the fleet is partitioned at any moment of a workspace's peak
+// load, also when all entries have just admitted much or little.
+func TestPartitionAtAnyMoment(t *testing.T) {
 	for _, rate := range []float64{47_000, 126_000, 400_000} {
-		for _, parts := range []int{2, 3, 9, 27} {
-			t.Run(fmt.Sprintf("%.0f in %d parts", rate, parts), func(t *testing.T) {
+		for _, partitions := range []int{2, 3, 9, 27} {
+			t.Run(fmt.Sprintf("%.0f in %d partitions", rate, partitions), func(t *testing.T) {
 				t.Parallel()
 				l := quota.Limit{Rate: rate, Burst: rate}
 				for from := time.Duration(0); from < 3*time.Second; from += 300 * time.Millisecond {
-					p := load{factor: 8, late: 150 * time.Millisecond, parts: parts, from: from}
-					overrun, served := p.play(newReplicas(l), l)
+					p := scenario{factor: 8, exchangeInterval: 150 * time.Millisecond, partitions: partitions, partitionDelay: from}
+					overrun, served := p.run(newReplicas(l), l)
 					assert.LessOrEqual(t, overrun, 1.0, "after %v", from)
 					assert.GreaterOrEqual(t, served, 0.9, "after %v", from)
 				}
