--- a/membership/view.go
+++ b/membership/view.go
@@ -1,7 +1,7 @@
-// Package membership merges what a process learns about endpoints into one
-// view. Facts come late, repeated and in any order; the merge gives the same
-// view for every order, so that no agreement is needed. A wrong view costs a
-// refused round trip, because the agent beside the endpoint decides.
+// Package membership merges what a process learns about endpoints into one view. Updates
+// arrive late, more than once and in any order; the merge gives the same view for every
+// order, so no consensus is needed. A wrong view costs one refused round trip, because the
+// agent beside the endpoint decides.
 package membership
 
 import (
@@ -11,16 +11,15 @@
 	"ebonypulley/wire"
 )
 
-// Word is an agent's word about itself. For one incarnation Draining only
-// ever turns on; a later incarnation replaces an earlier one.
+// Word is an agent's state as reported by itself. Within one incarnation Draining is never
+// reset; a later incarnation replaces an earlier one.
 type Word struct {
 	Incarnation wire.Incarnation
 	Draining    bool
 }
 
-// Merge returns the least word that both agree with. It is commutative,
-// associative and idempotent. Incarnations are UUIDv7 and so ordered by the
-// time of the start.
+// Merge returns the join (least upper bound) of two states. It is commutative, associative
+// and idempotent. Incarnations are UUIDv7, so they are ordered by start time.
 func Merge(a, b Word) Word {
 	switch c := bytes.Compare(a.Incarnation[:], b.Incarnation[:]); {
 	case c > 0:
@@ -32,37 +31,37 @@
 	}
 }
 
-// View is the membership as one process sees it.
+// View is the membership as seen by one process.
 type View struct {
 	mu      sync.RWMutex
-	words   map[string]Word
+	states  map[string]Word
 	leaving map[string]bool
 }
 
 // NewView returns an empty view.
 func NewView() *View {
-	return &View{words: make(map[string]Word), leaving: make(map[string]bool)}
+	return &View{states: make(map[string]Word), leaving: make(map[string]bool)}
 }
 
-// Hear merges a word about an endpoint and reports whether it is news.
+// Hear merges a state of an endpoint, and reports whether that changes the view.
 func (v *View) Hear(endpoint string, w Word) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	old := v.words[endpoint]
+	old := v.states[endpoint]
 	merged := Merge(old, w)
-	v.words[endpoint] = merged
+	v.states[endpoint] = merged
 	return merged != old
 }
 
-// Word returns the merged word about an endpoint.
+// Word returns the merged state of an endpoint.
 func (v *View) Word(endpoint string) Word {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.words[endpoint]
+	return v.states[endpoint]
 }
 
-// SetLeaving replaces the set of endpoints that the platform's VM list calls
-// leaving. The list lags, so it only ever adds a reason to avoid one.
+// SetLeaving replaces the set of endpoints that the platform's VM list marks as leaving. The
+// list lags, so it is only used to avoid endpoints.
 func (v *View) SetLeaving(endpoints []string) {
 	leaving := make(map[string]bool, len(endpoints))
 	for _, e := range endpoints {
@@ -73,9 +72,9 @@
 	v.leaving = leaving
 }
 
-// Usable reports whether nothing speaks against new work for the endpoint.
+// Usable reports whether new work may be sent to the endpoint.
 func (v *View) Usable(endpoint string) bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return !v.leaving[endpoint] && !v.words[endpoint].Draining
+	return !v.leaving[endpoint] && !v.states[endpoint].Draining
 }
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -11,7 +11,7 @@
 	"ebonypulley/wire"
 )
 
-func word() *rapid.Generator[membership.Word] {
+func randomWord() *rapid.Generator[membership.Word] {
 	return rapid.Custom(func(t *rapid.T) membership.Word {
 		return membership.Word{
 			Incarnation: wire.Incarnation{rapid.Byte().Draw(t, "incarnation") % 4},
@@ -20,10 +20,10 @@
 	})
 }
 
-// TestMergeLaws: words that come late, again and in any order give one view.
+// TestMergeLaws: states that arrive late, repeatedly and in any order yield the same view.
 func TestMergeLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := word().Draw(t, "a"), word().Draw(t, "b"), word().Draw(t, "c")
+		a, b, c := randomWord().Draw(t, "a"), randomWord().Draw(t, "b"), randomWord().Draw(t, "c")
 		assert.Equal(t, membership.Merge(a, b), membership.Merge(b, a), "commutative")
 		assert.Equal(t, membership.Merge(a, membership.Merge(b, c)), membership.Merge(membership.Merge(a, b), c), "associative")
 		assert.Equal(t, a, membership.Merge(a, a), "idempotent")
@@ -32,9 +32,9 @@
 	})
 }
 
-// Story: an agent drains and ends; its last word arrives after the hello of
-// its successor. The successor must get work.
-func TestLateWordOfPredecessor(t *testing.T) {
+// TestLateStateOfFormerIncarnation guards against a successor that gets no work because the
+// last state of its predecessor, which was draining, arrives after the successor's hello.
+func TestLateStateOfFormerIncarnation(t *testing.T) {
 	v := membership.NewView()
 	v.Hear("e", membership.Word{Incarnation: wire.Incarnation{1}})
 	v.Hear("e", membership.Word{Incarnation: wire.Incarnation{2}})
--- a/parts/assembly.go
+++ b/parts/assembly.go
@@ -1,28 +1,28 @@
 package parts
 
-// Assembly puts a value together from parts that come in any order. It is not
-// safe for concurrent use.
+// Assembly reassembles a value from parts that arrive in any order. It is not safe for
+// concurrent use.
 type Assembly struct {
 	manifest Manifest
 	parts    map[uint64][]byte
 	unpacker unpacker
 }
 
-// NewAssembly begins a value with the parts that are here already.
-func NewAssembly(m Manifest, here func(digest uint64) ([]byte, bool)) (*Assembly, error) {
-	if m.Size < 0 || m.Size > MaxValue || len(m.Parts) > m.Size/least+1 {
+// NewAssembly starts a value with the parts that are available locally.
+func NewAssembly(m Manifest, local func(digest uint64) ([]byte, bool)) (*Assembly, error) {
+	if m.Size < 0 || m.Size > MaxValueBytes || len(m.Parts) > m.Size/minPartBytes+1 {
 		return nil, ErrManifest.New("%d bytes in %d parts", m.Size, len(m.Parts))
 	}
 	a := &Assembly{manifest: m, parts: make(map[uint64][]byte, len(m.Parts))}
 	for _, d := range m.Parts {
-		if part, ok := here(d); ok {
+		if part, ok := local(d); ok {
 			a.parts[d] = part
 		}
 	}
 	return a, nil
 }
 
-// Missing returns at most n digests of parts that have not come.
+// Missing returns at most n digests of parts that have not arrived.
 func (a *Assembly) Missing(n int) (list []uint64) {
 	listed := make(map[uint64]bool)
 	for _, d := range a.manifest.Parts {
@@ -37,13 +37,13 @@
 	return list
 }
 
-// Part returns a part that has come.
+// Part returns a part that has arrived.
 func (a *Assembly) Part(digest uint64) ([]byte, bool) {
 	part, ok := a.parts[digest]
 	return part, ok
 }
 
-// Add takes a part as it was sent and reports whether the value lacked it.
+// Add adds a compressed part, and reports whether it was missing.
 func (a *Assembly) Add(packed []byte) (bool, error) {
 	part, err := a.unpacker.unpack(packed)
 	if err != nil {
@@ -59,11 +59,9 @@
 	return false, nil
 }
 
-// Value returns the whole value once nothing is missing.
-//
-// Two parts have one digest, or a sender's manifest is
-// wrong. It would show as a configuration that nobody published. The guard holds
-// because the whole has a digest of its own.
+// Value returns the whole value once no part is missing. It checks the digest of the whole:
+// if two parts had the same digest, or the sender's manifest was wrong, the result would be a
+// configuration that nobody published.
 func (a *Assembly) Value() ([]byte, error) {
 	value := make([]byte, 0, a.manifest.Size)
 	for _, d := range a.manifest.Parts {
--- a/parts/index.go
+++ b/parts/index.go
@@ -6,28 +6,28 @@
 	"ebonypulley/revision"
 )
 
-// Index holds the parts of the values that this process has, by digest. It is
-// safe for concurrent use.
+// Index holds the parts of the values that this process has, by digest. It is safe for
+// concurrent use.
 type Index struct {
 	mu     sync.Mutex
-	values map[string]*indexed
+	values map[string]*indexedValue
 	packer packer
 }
 
-type indexed struct {
+type indexedValue struct {
 	revision revision.Revision
 	manifest Manifest
 	parts    map[uint64][]byte
-	// packed holds parts as they are sent, once somebody asked for them: one
-	// process hands the same ones to dozens.
+	// packed caches compressed parts that were requested: one process sends the same ones to
+	// dozens of others.
 	packed map[uint64][]byte
 }
 
 // NewIndex returns an empty index.
-func NewIndex() *Index { return &Index{values: make(map[string]*indexed)} }
+func NewIndex() *Index { return &Index{values: make(map[string]*indexedValue)} }
 
-// Manifest returns that of the value which a key has at a revision, and holds
-// its parts in place of those of the key's older value.
+// Manifest returns the manifest of a key's value at a revision, and indexes its parts in
+// place of those of the key's former value.
 func (x *Index) Manifest(key string, at revision.Revision, value []byte) Manifest {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -35,7 +35,7 @@
 	if old != nil && old.revision == at {
 		return old.manifest
 	}
-	v := &indexed{
+	v := &indexedValue{
 		revision: at,
 		manifest: Manifest{Size: len(value), Digest: digest(value)},
 		parts:    make(map[uint64][]byte),
@@ -53,7 +53,7 @@
 	return v.manifest
 }
 
-// Part returns a part that a value held here has.
+// Part returns a part of an indexed value.
 func (x *Index) Part(d uint64) ([]byte, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -65,9 +65,8 @@
 	return nil, false
 }
 
-// Packed returns parts as they are sent, as many of those asked for as fit into
-// about maxBytes, one at least; those that no value here has any more are left
-// out.
+// Packed returns the requested parts in compressed form, as many as fit into about maxBytes
+// and at least one. Parts that no indexed value has any more are left out.
 func (x *Index) Packed(digests []uint64, maxBytes int) (list [][]byte) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -86,7 +85,7 @@
 	return list
 }
 
-// pack returns a part as it is sent, nil if there is none; x.mu is held.
+// pack returns a compressed part, nil if there is none. The caller holds x.mu.
 func (x *Index) pack(d uint64) []byte {
 	for _, v := range x.values {
 		part, ok := v.parts[d]
--- a/parts/pack.go
+++ b/parts/pack.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// packer deflates parts. Its writer takes 1.2 MB, so that a process keeps one.
+// packer compresses parts. Its writer takes 1.2 MB of memory, so a process keeps one.
 type packer struct {
 	w *flate.Writer
 }
@@ -21,20 +21,20 @@
 		p.w = w
 	}
 	p.w.Reset(&buf)
-	// A buffer takes all that is written to it.
+	// Writing to a bytes.Buffer does not fail.
 	_, _ = p.w.Write(part)
 	_ = p.w.Close()
 	return buf.Bytes()
 }
 
-// unpacker inflates parts. Its reader takes 44 kB, which for each part of a large
-// value would be garbage several times the value's size.
+// unpacker decompresses parts. Its reader takes 44 kB; a new one for each part of a large
+// value would allocate several times the value's size.
 type unpacker struct {
 	r   io.ReadCloser
 	buf bytes.Buffer
 }
 
-// unpack returns a part, whose length is bounded whatever the sender packed.
+// unpack decompresses a part. It bounds the size of the result, whatever the sender packed.
 func (u *unpacker) unpack(packed []byte) ([]byte, error) {
 	src := bytes.NewReader(packed)
 	if u.r == nil {
@@ -43,11 +43,11 @@
 		return nil, ErrPart.Wrap(err, "reset")
 	}
 	u.buf.Reset()
-	if _, err := u.buf.ReadFrom(io.LimitReader(u.r, most+1)); err != nil {
+	if _, err := u.buf.ReadFrom(io.LimitReader(u.r, maxPartBytes+1)); err != nil {
 		return nil, ErrPart.Wrap(err, "%d bytes", len(packed))
 	}
-	if u.buf.Len() > most {
-		return nil, ErrPart.New("longer than %d bytes", most)
+	if u.buf.Len() > maxPartBytes {
+		return nil, ErrPart.New("longer than %d bytes", maxPartBytes)
 	}
 	return bytes.Clone(u.buf.Bytes()), nil
 }
--- a/parts/parts_test.go
+++ b/parts/parts_test.go
@@ -13,7 +13,7 @@
 	"ebonypulley/revision"
 )
 
-// routes returns a value like a configuration with some routes.
+// routes returns a value like a configuration with a number of routes.
 func routes(version, n int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"version":%d,"routes":[`, version)
@@ -25,8 +25,7 @@
 	return b.Bytes()
 }
 
-// fetch brings a value from one index to a process that has another, and
-// returns what it cost on the way.
+// fetch transfers a value from one index to a process that has another, and returns its cost.
 func fetch(t require.TestingT, from *parts.Index, m parts.Manifest, here *parts.Index) (value []byte, packed, answers int) {
 	a, err := parts.NewAssembly(m, here.Part)
 	require.NoError(t, err)
@@ -46,9 +45,9 @@
 	return value, packed, answers
 }
 
-// TestOnlyChangesAreFetched: each of 1,400 changes a day fills an entry's link
-// with a whole configuration. A change of one route, of the version or of a
-// route in the middle costs a few parts.
+// TestOnlyChangesAreFetched guards against a link that is filled with whole configurations,
+// at 1,400 changes a day. A change of one route, of the version or of a route in the middle
+// costs a few parts.
 func TestOnlyChangesAreFetched(t *testing.T) {
 	before, after := routes(1, 4000), routes(2, 4000)
 	after = bytes.Replace(after, []byte("app.example"), []byte("new.example.org"), 1)
@@ -63,9 +62,9 @@
 	assert.Equal(t, 1, answers)
 }
 
-// TestWholeValueIsPacked: an entry that starts takes a whole configuration over
-// the smallest link, of 10 Mbit/s, in a fraction of the time that it has.
-func TestWholeValueIsPacked(t *testing.T) {
+// TestWholeValueIsCompressed: an entry that starts fetches a whole configuration over the
+// narrowest link, of 10 Mbit/s, in a fraction of the time available.
+func TestWholeValueIsCompressed(t *testing.T) {
 	from := parts.NewIndex()
 	whole := routes(1, 4240)
 	value, packed, answers := fetch(t, from, from.Manifest("config", revision.Revision{Count: 1}, whole), parts.NewIndex())
@@ -74,9 +73,9 @@
 	assert.Less(t, packed, len(whole)/4)
 }
 
-// TestAnyValue: whatever the bytes and however they changed, the value comes
-// whole or not at all.
-func TestAnyValue(t *testing.T) {
+// TestFetchArbitraryValues: whatever the bytes and their changes, the value arrives whole or
+// not at all.
+func TestFetchArbitraryValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		piece := rapid.SliceOfN(rapid.Byte(), 0, 300)
 		repeat := rapid.IntRange(0, 400)
@@ -89,10 +88,10 @@
 	})
 }
 
-// TestWrongParts: bytes that are no part, a part that nobody asked for and a
-// manifest that does not fit its parts give no value; a size that would fill
-// memory is refused before anything is fetched.
-func TestWrongParts(t *testing.T) {
+// TestInvalidParts: corrupt parts, a part that was not requested and a manifest that does not
+// match its parts yield no value. A size that would exhaust memory is refused before anything
+// is fetched.
+func TestInvalidParts(t *testing.T) {
 	x := parts.NewIndex()
 	m := x.Manifest("k", revision.Revision{Count: 1}, routes(1, 100))
 	other := x.Manifest("other", revision.Revision{Count: 1}, bytes.Repeat([]byte("other"), 100))
@@ -113,14 +112,14 @@
 	assert.Empty(t, b.Missing(1))
 	_, err = b.Value()
 	assert.Error(t, err)
-	_, err = parts.NewAssembly(parts.Manifest{Size: parts.MaxValue + 1}, nothing)
+	_, err = parts.NewAssembly(parts.Manifest{Size: parts.MaxValueBytes + 1}, nothing)
 	assert.Error(t, err)
 }
 
-// TestReplacedValue: the value changes while a process fetches it. Parts that
-// the new value still has are served, the others are left out, so that the
-// process asks again instead of waiting.
-func TestReplacedValue(t *testing.T) {
+// TestValueReplacedDuringFetch: when a value changes during a fetch, the parts that the new
+// value still has are sent and the others left out, so that the receiver asks again instead
+// of waiting.
+func TestValueReplacedDuringFetch(t *testing.T) {
 	x := parts.NewIndex()
 	old := x.Manifest("k", revision.Revision{Count: 1}, routes(1, 1000))
 	x.Manifest("k", revision.Revision{Count: 2}, routes(2, 1000))
@@ -145,8 +144,8 @@
 	}
 }
 
-// BenchmarkFetch takes a value of 4,240 routes from its parts: 5.5 MB allocated with
-// a reader and a buffer for each part, 2.2 MB with one of each.
+// BenchmarkFetch assembles a value of 4,240 routes from its parts. It allocates 5.5 MB with a
+// reader and a buffer for each part, 2.2 MB with one of each.
 func BenchmarkFetch(b *testing.B) {
 	x := parts.NewIndex()
 	value := routes(1, 4240)
--- a/revision/revision.go
+++ b/revision/revision.go
@@ -1,4 +1,4 @@
-// Package revision orders what the platform's store publishes.
+// Package revision orders the changes of the platform's store.
 package revision
 
 import (
@@ -6,15 +6,15 @@
 	"strconv"
 )
 
-// Revision is a point of the store's history. The store counts its changes. When it comes
-// back from a copy another era begins, in which it gives out the counts behind the copy again,
-// for other changes.
+// Revision is a point in the store's history. The store numbers its changes. When it is
+// restored from a backup a new era begins, in which it assigns the numbers after the backup
+// again, to other changes.
 type Revision struct {
 	Era   uint64
 	Count uint64
 }
 
-// Compare returns -1, 0 or 1 as r is before, at or after o.
+// Compare returns -1, 0 or 1 if r is before, equal to or after o.
 func (r Revision) Compare(o Revision) int {
 	return cmp.Or(cmp.Compare(r.Era, o.Era), cmp.Compare(r.Count, o.Count))
 }
@@ -33,14 +33,15 @@
 // IsZero reports whether nothing is known of the store's history.
 func (r Revision) IsZero() bool { return r == Revision{} }
 
-// String returns era and count, for logs.
+// String returns era and count separated by a dot, for logs.
 func (r Revision) String() string {
 	return strconv.FormatUint(r.Era, 10) + "." + strconv.FormatUint(r.Count, 10)
 }
 
-// fencedCounts is how many counts of one era fencing numbers tell apart. Numbers of 2,048 eras
-// with room for thousand holders at each count stay exact where numbers are floating point.
-const fencedCounts = 1 << 32
+// countsPerEra is how many counts of one era have distinct ordinals. Fencing numbers derived
+// from them, with room for a thousand holders at each count, stay exact in floating point for
+// 2,048 eras.
+const countsPerEra = 1 << 32
 
 // Ordinal returns a number that grows with the revision.
-func (r Revision) Ordinal() uint64 { return r.Era*fencedCounts + r.Count%fencedCounts }
+func (r Revision) Ordinal() uint64 { return r.Era*countsPerEra + r.Count%countsPerEra }
--- a/revision/revision_test.go
+++ b/revision/revision_test.go
@@ -10,8 +10,9 @@
 	"ebonypulley/revision"
 )
 
-// TestOrderAcrossEras: a count that is given out again is taken for the earlier one; a fencing
-// number falls when the store comes back from a copy, and orders are refused.
+// TestOrderAcrossEras guards against a count that is assigned again and taken for the earlier
+// one, and against fencing numbers that decrease when the store is restored from a backup, so
+// that orders are refused.
 func TestOrderAcrossEras(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) revision.Revision {
--- a/stall/stall.go
+++ b/stall/stall.go
@@ -1,11 +1,10 @@
-// Package stall bounds a read by the want of bytes instead of by its whole
-// time, so that a large answer on a narrow link comes to its end while a silent
-// connection is still given up soon.
+// Package stall limits a read by the gaps between its bytes rather than by its total time, so
+// that a large answer on a narrow link is read to its end while a silent connection is
+// abandoned soon.
 //
-// A configuration of 1 MB takes longer on a link of 10
-// Mbit/s than a bound that suits small answers. It shows as a read that is cut
-// and begun again from its first byte for ever. The guard holds because only a
-// read that brings nothing is cut.
+// A configuration of 1 MB takes longer on a 10 Mbit/s link than a total timeout that suits
+// small answers. With such a timeout the read would be cut off and restarted from its first
+// byte, endlessly.
 package stall
 
 import (
@@ -18,53 +17,52 @@
 
 var (
 	readErrors = errorx.NewNamespace("read")
-	// ErrSilent is why a read ended that brought no byte in time, ErrDrips why
-	// one did that came too slowly to be worth its end.
-	ErrSilent = readErrors.NewType("silent")
-	ErrDrips  = readErrors.NewType("drips")
+	// ErrStalled is returned for a read that got no byte in time, ErrTooSlow for one that got
+	// bytes but did not complete in time.
+	ErrStalled = readErrors.NewType("silent")
+	ErrTooSlow = readErrors.NewType("drips")
 )
 
-// Limits bound one read.
+// Limits bound the time of one read.
 type Limits struct {
-	// Begin is how long the answer may take to begin, Idle how long a pause
-	// after its first byte may be.
+	// Begin is the time until the first byte of the answer, Idle the gap between later ones.
 	Begin, Idle time.Duration
-	// Most bounds the answer once it may have begun.
+	// Most bounds the total time after Begin.
 	Most time.Duration
 }
 
-// Read is one read under way.
+// Read is a read in progress.
 type Read struct {
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	idle   time.Duration
-	silent *time.Timer
-	drips  *time.Timer
+	ctx        context.Context
+	cancel     context.CancelCauseFunc
+	idle       time.Duration
+	idleTimer  *time.Timer
+	totalTimer *time.Timer
 }
 
-// Start begins a read; End must be called after it.
+// Start starts a read. The caller must call End after it.
 func Start(ctx context.Context, l Limits) *Read {
 	r := &Read{idle: l.Idle}
 	r.ctx, r.cancel = context.WithCancelCause(ctx)
-	r.silent = time.AfterFunc(l.Begin, func() { r.cancel(ErrSilent.New("no byte in time")) })
-	r.drips = time.AfterFunc(l.Begin+l.Most, func() { r.cancel(ErrDrips.New("not whole after %v", l.Most)) })
+	r.idleTimer = time.AfterFunc(l.Begin, func() { r.cancel(ErrStalled.New("no byte received in time")) })
+	r.totalTimer = time.AfterFunc(l.Begin+l.Most, func() { r.cancel(ErrTooSlow.New("incomplete after %v", l.Most)) })
 	return r
 }
 
-// Context ends with the read.
+// Context returns the context of the read; it ends with the read.
 func (r *Read) Context() context.Context { return r.ctx }
 
-// Cancel ends the read for a reason, which Err returns.
+// Cancel ends the read with a cause, which Err returns.
 func (r *Read) Cancel(cause error) { r.cancel(cause) }
 
-// End frees what the read holds.
+// End releases the resources of the read.
 func (r *Read) End() {
-	r.silent.Stop()
-	r.drips.Stop()
+	r.idleTimer.Stop()
+	r.totalTimer.Stop()
 	r.cancel(nil)
 }
 
-// Err returns why the read ended early, else err.
+// Err returns err, decorated with the cause if the read was cut off.
 func (r *Read) Err(err error) error {
 	if cause := context.Cause(r.ctx); err != nil && cause != nil {
 		return errorx.Decorate(cause, "%v", err)
@@ -72,7 +70,7 @@
 	return err
 }
 
-// Body returns a body whose bytes keep the read alive.
+// Body returns a reader that records the arrival of bytes from body.
 func (r *Read) Body(body io.Reader) io.Reader { return &reader{read: r, body: body} }
 
 type reader struct {
@@ -80,14 +78,14 @@
 	body io.Reader
 }
 
-// pieceBytes bounds what is asked for at a time: a chunked body is returned only
-// once all that was asked for is there, which would look like silence.
-const pieceBytes = 8 << 10
+// maxReadBytes bounds the bytes requested at a time. A read of a chunked body returns only
+// when all requested bytes are there; the wait for them would look like silence.
+const maxReadBytes = 8 << 10
 
 func (r *reader) Read(p []byte) (int, error) {
-	n, err := r.body.Read(p[:min(len(p), pieceBytes)])
+	n, err := r.body.Read(p[:min(len(p), maxReadBytes)])
 	if n > 0 {
-		r.read.silent.Reset(r.read.idle)
+		r.read.idleTimer.Reset(r.read.idle)
 	}
 	return n, err
 }
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -15,7 +15,7 @@
 
 var limits = stall.Limits{Begin: time.Second, Idle: 500 * time.Millisecond, Most: 10 * time.Second}
 
-// read reads an answer of pieces that come one every pause.
+// read reads an answer whose pieces arrive one per pause.
 func read(t *testing.T, ctx context.Context, pieces int, pause time.Duration) (n int, err error) {
 	r := stall.Start(ctx, limits)
 	defer r.End()
@@ -34,20 +34,20 @@
 	return len(text), r.Err(err)
 }
 
-// TestSlowIsNotSilent: a large answer on a narrow link takes many times as long
-// as a small one and is read to its end; one that falls silent, and one that
-// drips, are given up for that reason.
-func TestSlowIsNotSilent(t *testing.T) {
+// TestSlowReadIsNotStalled: a large answer on a narrow link takes many times as long as a
+// small one and is read to its end. A read that stalls and one that is too slow fail with
+// their own errors.
+func TestSlowReadIsNotStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, err := read(t, t.Context(), 20, 400*time.Millisecond)
 		assert.NoError(t, err)
 		assert.Equal(t, 100, n)
 		began := time.Now()
 		_, err = read(t, t.Context(), 3, 900*time.Millisecond)
-		assert.True(t, errorx.IsOfType(err, stall.ErrSilent), "%v", err)
+		assert.True(t, errorx.IsOfType(err, stall.ErrStalled), "%v", err)
 		assert.Equal(t, 1400*time.Millisecond, time.Since(began))
 		_, err = read(t, t.Context(), 100, 400*time.Millisecond)
-		assert.True(t, errorx.IsOfType(err, stall.ErrDrips), "%v", err)
-		time.Sleep(time.Second) // the writers end
+		assert.True(t, errorx.IsOfType(err, stall.ErrTooSlow), "%v", err)
+		time.Sleep(time.Second) // until the writers end
 	})
 }
