--- a/gossip/link.go
+++ b/gossip/link.go
@@ -140,7 +140,7 @@
 	_ = c.Serve(ctx, func(m wire.Message) {
 		switch m := m.(type) {
 		case *wire.Reply:
-			n.observe(time.Now(), l.addr, m.DataCentre, StoreAccess{LinkMbps: m.Link, NoStore: m.NoStore}, membersOf(m.Members, m.Centres, m.Links))
+			n.observe(time.Now(), l.addr, m.DataCentre, StoreAccess{LinkMbps: m.Link, StoreFailed: m.NoStore}, membersOf(m.Members, m.Centres, m.Links))
 			n.learnMaxEntries(time.Now(), m.Most, m.MostAge, m.Counted)
 			n.recordRevision(l.addr, m.At())
 			n.handlePublished(l.addr, m, c)
--- a/gossip/members.go
+++ b/gossip/members.go
@@ -107,8 +107,8 @@
 type StoreAccess struct {
 	// LinkMbps is the capacity of the entry's own link, 0 if unknown.
 	LinkMbps float64
-	// NoStore says that its last read of the store failed.
-	NoStore bool
+	// StoreFailed says that its last read of the store failed.
+	StoreFailed bool
 }
 
 // SetStoreAccess records the access of an entry, possibly this one.
@@ -220,8 +220,8 @@
 // compareReaders orders entries by their precedence as reader.
 func (m *Members) compareReaders(a, b string) int {
 	wa, wb := m.access[a], m.access[b]
-	if wa.NoStore != wb.NoStore {
-		if wa.NoStore {
+	if wa.StoreFailed != wb.StoreFailed {
+		if wa.StoreFailed {
 			return 1
 		}
 		return -1
--- a/gossip/node.go
+++ b/gossip/node.go
@@ -124,7 +124,7 @@
 // members.
 func (n *Node) handleReport(r *wire.Report, first bool) *wire.Reply {
 	now := time.Now()
-	n.observe(now, r.From, r.DataCentre, StoreAccess{LinkMbps: r.Link, NoStore: r.NoStore}, membersOf(r.Members, r.Centres, r.Links))
+	n.observe(now, r.From, r.DataCentre, StoreAccess{LinkMbps: r.Link, StoreFailed: r.NoStore}, membersOf(r.Members, r.Centres, r.Links))
 	n.recordRevision(r.From, r.At())
 	work := make(map[string]router.Load, len(r.Work))
 	for _, w := range r.Work {
--- a/gossip/published.go
+++ b/gossip/published.go
@@ -28,7 +28,7 @@
 
 // reader returns the entry that reads the store for this one's data centre.
 func (n *Node) reader(now time.Time) string {
-	own := StoreAccess{LinkMbps: n.self.Link, NoStore: n.NoStore()}
+	own := StoreAccess{LinkMbps: n.self.Link, StoreFailed: n.NoStore()}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.members.SetStoreAccess(n.self.Addr, own)
--- a/gossip/source_test.go
+++ b/gossip/source_test.go
@@ -48,7 +48,7 @@
 	m.Observe(at(0), "0", "dc-2")
 	m.SetStoreAccess("0", gossip.StoreAccess{LinkMbps: 1000})
 	assert.Equal(t, "c", m.Reader(at(0)))
-	m.SetStoreAccess("c", gossip.StoreAccess{LinkMbps: 200, NoStore: true})
+	m.SetStoreAccess("c", gossip.StoreAccess{LinkMbps: 200, StoreFailed: true})
 	assert.Equal(t, "a", m.Reader(at(0)), "c has no access to the store")
 	assert.Equal(t, "b", m.Reader(at(2*time.Second)))
 }
