--- a/router/admit.go
+++ b/router/admit.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// roomPause is the pause before a waiting generation looks for room again.
-	roomPause = 20 * time.Millisecond
-	// reserveAbove is the part of an engine's memory from which on it is
+	// roomPollInterval is the time between two attempts to place a waiting generation.
+	roomPollInterval = 20 * time.Millisecond
+	// reserveThreshold is the fraction of an engine's memory in use above which memory is
 	// reserved before the prefill.
-	reserveAbove = 0.55
+	reserveThreshold = 0.55
 	// reserveTimeout bounds the round trip of a reservation.
 	reserveTimeout = 300 * time.Millisecond
-	// reserveTimes is how many times the longest usual time to the first event
-	// a reservation is held: its use ends it, and one that lapses before costs
-	// the whole prompt.
-	reserveTimes = 2
+	// reserveHoldFactor is the hold time of a reservation as a multiple of the longest
+	// expected time to the first event. Using the reservation ends it, and one that
+	// expires earlier wastes the whole prefill.
+	reserveHoldFactor = 2
 )
 
-// admit secures memory at a decode endpoint: at its gate, or by what is
-// reckoned of it.
+// admit obtains memory at a decode endpoint, from its agent or by this process's own
+// accounting.
 func (g *generationRun) admit(ctx context.Context) (admission, error) {
-	if g.r.gated() {
-		return g.queue(ctx)
+	if g.r.usesAgents() {
+		return g.reserveAtAgent(ctx)
 	}
-	return g.wait(ctx)
+	return g.waitForRoom(ctx)
 }
 
-// admission is a way whose memory is counted and, if the engine is nearly full,
-// reserved.
+// admission is a placement whose memory is accounted for and, if the engine is nearly
+// full, reserved.
 type admission struct {
 	placement
 	work        *Work
@@ -43,21 +43,21 @@
 	permits     permits
 }
 
-// permits are those for the requests of a way; nil where nothing is sent.
+// permits are the permits for the requests of a placement; nil where nothing is sent.
 type permits struct {
 	prefill, decode *permit
 }
 
-// end ends what is counted for a way that is over.
-func (a admission) end() {
+// release ends the accounting of a placement and returns unused permits.
+func (a admission) release() {
 	now := time.Now()
-	a.permits.prefill.end(now)
-	a.permits.decode.end(now)
+	a.permits.prefill.release(now)
+	a.permits.decode.release(now)
 	a.work.End()
 }
 
-// permit asks for the requests of a way. If one of its endpoints is at its limit, that one is
-// left out until it takes a request.
+// permit obtains permits for the requests of a placement. An endpoint that is at its
+// announced limit is excluded until it accepts a request again.
 func (g *generationRun) permit(now time.Time, p placement) (permits, bool) {
 	var list permits
 	var wait time.Duration
@@ -70,42 +70,41 @@
 	}
 	if list.prefill, wait = g.r.permit(now, p.prefill); list.prefill == nil {
 		g.limited[p.prefill.ID] = now.Add(wait)
-		list.decode.end(now)
+		list.decode.release(now)
 		return permits{}, false
 	}
 	return list, true
 }
 
-// take counts the memory of a way and reserves it at a decode endpoint that is
-// nearly full. It returns false if the endpoint has none after all.
+// claim accounts for the memory of a placement, and reserves it if the decode endpoint is
+// nearly full. It returns false if the endpoint has no room.
 //
-// A burst fills the decode engines, and what entries
-// reckon of each other is some tens of milliseconds old. A refusal after the
-// prefill costs the whole prompt; a reservation costs a round trip. A warm
-// engine is not asked: what is reserved there may push out the cached prompt
+// In a burst, what entries know of each other's work is some tens of milliseconds old. A
+// refusal after the prefill wastes the whole prefill, while a reservation costs one round
+// trip. No reservation is made at a warm engine, because it could evict the cached prompt
 // itself.
-func (g *generationRun) take(ctx context.Context, p placement) (admission, bool) {
+func (g *generationRun) claim(ctx context.Context, p placement) (admission, bool) {
 	permits, ok := g.permit(time.Now(), p)
 	if !ok {
 		return admission{}, false
 	}
-	a := admission{placement: p, permits: permits, work: g.r.loads.Begin(p.decode.ID, Load{Decodes: 1, KV: g.c.need()})}
-	if p.warm || p.fill < reserveAbove {
+	a := admission{placement: p, permits: permits, work: g.r.loads.Begin(p.decode.ID, Load{Decodes: 1, KV: g.c.initialTokens()})}
+	if p.warm || p.fill < reserveThreshold {
 		return a, true
 	}
 	stage, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	var err error
-	a.reservation, err = g.r.endpoints.Reserve(stage, p.decode, g.c, Ask{Tokens: g.c.need(), Hold: g.hold(p)})
+	a.reservation, err = g.r.endpoints.Reserve(stage, p.decode, g.c, Ask{Tokens: g.c.initialTokens(), Hold: g.holdTime(p)})
 	if err == nil {
 		return a, true
 	}
-	a.end()
+	a.release()
 	g.r.metrics.Add("reservations_refused", 1)
 	g.r.log.Emit(event.ReservationRefused, zap.String("request", g.c.ID), zap.String("endpoint", p.decode.ID),
 		zap.Float64("fill", p.fill), event.Err(err))
 	if errorx.IsOfType(err, ErrNotRun) && !errorx.IsOfType(err, ErrUnreachable) {
-		g.r.loads.Full(time.Now(), p.decode.ID, g.freeIn(p.decode))
+		g.r.loads.RecordFull(time.Now(), p.decode.ID, g.expectedFull(p.decode))
 		return a, false
 	}
 	g.tried[p.decode.ID] = true
@@ -115,68 +114,69 @@
 	return a, false
 }
 
-// freeShare is the part of the time until one of an engine's generations ends
-// after which it is looked at again: others may end sooner.
-const freeShare = 0.33
+// fullRetryFraction is the fraction of the expected time until one of a full engine's
+// generations ends after which it is tried again: others may end sooner.
+const fullRetryFraction = 0.33
 
-// freeIn is when an engine that refused a reservation may have room.
-func (g *generationRun) freeIn(e *Endpoint) time.Duration {
+// expectedFull returns how long an engine that refused a reservation is expected to stay
+// full.
+func (g *generationRun) expectedFull(e *Endpoint) time.Duration {
 	m := g.r.loads.Engines(g.c.Service)
 	streams := max(g.r.loads.View(time.Now(), e.ID).Decodes, 1)
-	return max(time.Duration(freeShare*float64(m.Life(g.c.Wait)))/time.Duration(streams), roomPause)
+	return max(time.Duration(fullRetryFraction*float64(m.Life(g.c.Wait)))/time.Duration(streams), roomPollInterval)
 }
 
-// hold is how long memory is reserved for a way.
-func (g *generationRun) hold(p placement) time.Duration {
-	d := reserveTimes * (p.first.High() + wayTime)
+// holdTime returns how long memory is reserved for a placement.
+func (g *generationRun) holdTime(p placement) time.Duration {
+	d := reserveHoldFactor * (p.firstEvent.High() + networkAllowance)
 	if eng := g.c.Service.Engine; eng != nil && eng.HoldMost > 0 {
 		d = min(d, eng.HoldMost)
 	}
 	return d
 }
 
-// wait returns a way as soon as one has room, or refuses.
-func (g *generationRun) wait(ctx context.Context) (admission, error) {
+// waitForRoom waits until the generation is placed or refused.
+func (g *generationRun) waitForRoom(ctx context.Context) (admission, error) {
 	began := time.Now()
 	for {
-		p, ok, err := g.look(time.Now(), began)
+		p, ok, err := g.tryPlace(time.Now(), began)
 		if err != nil {
 			return admission{}, err
 		}
 		if ok {
-			if a, ok := g.take(ctx, p); ok {
+			if a, ok := g.claim(ctx, p); ok {
 				g.r.metrics.Histogram("queue." + g.c.class()).Record(time.Since(began))
 				return a, nil
 			}
 		}
-		if !ebonypulley.Sleep(ctx, roomPause) {
+		if !ebonypulley.Sleep(ctx, roomPollInterval) {
 			return admission{}, ctx.Err()
 		}
 	}
 }
 
-// look looks for a way once. An error refuses the generation.
-func (g *generationRun) look(now, began time.Time) (placement, bool, error) {
+// tryPlace makes one attempt to place the generation. An error refuses it.
+func (g *generationRun) tryPlace(now, began time.Time) (placement, bool, error) {
 	g.expireKept(now)
 	if eng := g.c.Service.Engine; eng != nil && g.c.Prompt > eng.KVTokens {
 		return placement{}, false, errNoEndpoint.New("the prompt of %d tokens exceeds an engine's memory", g.c.Prompt)
 	}
-	turn := g.late.turn(now, began)
+	rule := g.policy.rule(now, began)
 	if g.kept != nil {
-		turn.fill = fullFill // its prompt is computed, and the result expires soon
+		rule.fill = maxFill // its prompt is already prefilled, and the result expires soon
 	}
-	p, ok := g.r.place(now, g.c, options{tried: g.tried, limited: g.limited, kept: g.kept, warm: g.warm, fill: turn.fill})
-	if ok && g.kept == nil && g.late.standsBack(now, p, turn) {
+	p, ok := g.r.place(now, g.c, placeOptions{tried: g.tried, limited: g.limited, kept: g.kept, warm: g.warm, fill: rule.fill})
+	if ok && g.kept == nil && g.policy.defers(now, p, rule) {
 		ok = false
-		turn.refuse = turn.refuse || !g.late.again && now.Sub(began) >= minWait
+		rule.refuse = rule.refuse || !g.policy.retried && now.Sub(began) >= minWait
 	}
 	if ok {
 		g.r.log.Emit(event.Placed, zap.String("request", g.c.ID), zap.String("prefill", p.prefillID()),
-			zap.String("decode", p.decode.ID), zap.Duration("waited", now.Sub(began)), zap.Duration("first", p.first.Mean), zap.Duration("spread", p.first.Spread),
+			zap.String("decode", p.decode.ID), zap.Duration("waited", now.Sub(began)), zap.Duration("first", p.firstEvent.Mean), zap.Duration("spread", p.firstEvent.Spread),
 			zap.Float64("fill", p.fill), zap.Bool("warm", p.warm), zap.Bool("kept", g.kept != nil))
 		return p, true, nil
 	}
-	if turn.refuse {
+	if rule.refuse {
 		return p, false, errNoEndpoint.New("no engine of %s has room", g.c.Service.Name)
 	}
 	return p, false, nil
--- a/router/answer.go
+++ b/router/answer.go
@@ -9,41 +9,41 @@
 
 var (
 	routerErrors = errorx.NewNamespace("router")
-	// ErrNotRun is returned by an endpoint interface when the request
-	// provably did not run there and never will.
+	// ErrNotRun is returned by Endpoints if the request provably did not run at the
+	// endpoint and never will.
 	ErrNotRun = routerErrors.NewType("not-run")
-	// ErrUnreachable is an ErrNotRun whose endpoint took no connection: it
-	// was not even asked.
+	// ErrUnreachable is an ErrNotRun from an endpoint that accepted no connection, so that
+	// nothing was sent.
 	ErrUnreachable = ErrNotRun.NewSubtype("unreachable")
-	// ErrAbsent is an ErrUnreachable at whose address nothing listens.
+	// ErrAbsent is an ErrUnreachable from an address where nothing listens.
 	ErrAbsent = ErrUnreachable.NewSubtype("absent")
-	// ErrMoved is an ErrNotRun of another endpoint at the same address.
+	// ErrMoved is an ErrNotRun from another endpoint that now has this address.
 	ErrMoved = ErrNotRun.NewSubtype("moved")
-	// ErrLost is returned when a request may have run and no whole answer
-	// came.
+	// ErrLost is returned if a request may have run but its answer is missing or
+	// incomplete.
 	ErrLost = routerErrors.NewType("lost")
-	// ErrBroken is an ErrLost whose connection ended before the whole answer came.
+	// ErrBroken is an ErrLost whose connection ended before the answer was complete.
 	ErrBroken = ErrLost.NewSubtype("broken")
-	// ErrWaited is an ErrNotRun of a request that queued at an endpoint for as
-	// long as it may: asking another one can't help.
+	// ErrWaited is an ErrNotRun of a request that queued at an endpoint for the maximum
+	// time. Trying another endpoint cannot help.
 	ErrWaited = ErrNotRun.NewSubtype("waited")
-	// ErrExpired is an ErrLost whose endpoint dropped the work because it did
-	// not hear this process, which is no sign of an outage.
+	// ErrExpired is an ErrLost from an endpoint that dropped the work because it received
+	// no heartbeat from this process. It does not indicate an outage of the endpoint.
 	ErrExpired = ErrLost.NewSubtype("expired")
-	// ErrCaller is returned by a sink whose caller has gone.
+	// ErrCaller is returned by a Sink whose caller has disconnected.
 	ErrCaller = routerErrors.NewType("caller")
 )
 
-// retryAfter holds an endpoint's advice in an error.
+// retryAfter is the error property that holds an endpoint's suggested retry delay.
 var retryAfter = errorx.RegisterProperty("retry_after")
 
-// WithRetryAfter adds an endpoint's advice when to ask again.
+// WithRetryAfter adds an endpoint's suggested retry delay to an error.
 func WithRetryAfter(err *errorx.Error, after time.Duration) *errorx.Error {
 	return err.WithProperty(retryAfter, after)
 }
 
-// advice returns an endpoint's advice when to ask again, or the fallback.
-func advice(err error, fallback time.Duration) time.Duration {
+// retryAdvice returns the retry delay suggested by the endpoint, or the fallback.
+func retryAdvice(err error, fallback time.Duration) time.Duration {
 	value, _ := errorx.ExtractProperty(err, retryAfter)
 	if after, ok := value.(time.Duration); ok && after > 0 {
 		return after
@@ -51,38 +51,38 @@
 	return fallback
 }
 
-// advised hands the advice of one error on to another.
-func advised(err *errorx.Error, from error) *errorx.Error {
-	return WithRetryAfter(err, advice(from, 0))
+// withAdviceOf copies the suggested retry delay of one error to another.
+func withAdviceOf(err *errorx.Error, from error) *errorx.Error {
+	return WithRetryAfter(err, retryAdvice(from, 0))
 }
 
-// Answer is a whole answer of an endpoint.
+// Answer is a complete answer from an endpoint.
 type Answer struct {
-	// Failed says that the endpoint itself reports a failure, which is
-	// delivered like any answer but may be worth another attempt.
+	// Failed says that the endpoint reported a failure of its own. It is delivered like
+	// any answer, unless another attempt is made.
 	Failed bool
-	// Body is the answer itself, opaque to decisions.
+	// Body is the answer itself, opaque to this package.
 	Body any
 }
 
-// Why says why a request was given up.
+// Why is the reason why a request was given up.
 type Why uint8
 
-// Reasons for giving up.
+// Reasons why a request was given up.
 const (
-	// NotRun: nothing ran and nothing will; repeating is safe.
+	// NotRun: nothing ran and nothing will; the request may be repeated safely.
 	NotRun Why = iota + 1
 	// Unknown: it may have run.
 	Unknown
 	// TimedOut: the deadline passed; it may have run.
 	TimedOut
-	// CallerGone: nobody waits for the answer.
+	// CallerGone: the caller has disconnected.
 	CallerGone
 	// OverQuota: the caller's workspace is at its limit; nothing ran.
 	OverQuota
 )
 
-// String returns the reason as it stands in logs.
+// String returns the name of the reason in logs.
 func (w Why) String() string {
 	switch w {
 	case NotRun:
@@ -102,103 +102,103 @@
 // Failure is the final answer to a request that was given up.
 type Failure struct {
 	Why Why
-	// Retry is when the caller may come back; zero says nothing.
+	// Retry is when the caller may retry; zero if unspecified.
 	Retry time.Duration
-	// Cause is for the log.
+	// Cause is the underlying error, for the log.
 	Cause error
 }
 
-// Result is the KV cache of a prompt, kept by the engine that computed it.
+// Result is the KV cache of a prompt, held by the engine that computed it.
 type Result struct {
 	Endpoint *Endpoint
-	// Handle is the engine's name for it, opaque to decisions.
+	// Handle is the engine's handle of the result, opaque to this package.
 	Handle any
-	// Expiry is when the engine drops it.
+	// Expiry is when the engine frees it.
 	Expiry time.Time
 }
 
-// Reservation is memory held at a decode endpoint for one request.
+// Reservation is memory reserved at a decode endpoint for one request.
 type Reservation struct {
 	Endpoint *Endpoint
-	// Handle is the engine's name for it, opaque to decisions.
+	// Handle is the engine's handle of the reservation, opaque to this package.
 	Handle any
 }
 
-// Ask is what a reservation asks for.
+// Ask describes a reservation to be made.
 type Ask struct {
-	// Tokens is the memory.
+	// Tokens is the memory to reserve, in tokens.
 	Tokens int
-	// Hold is how long the memory is held for the request to come.
+	// Hold is how long the memory is reserved before the request must arrive.
 	Hold time.Duration
 }
 
-// Start says from what a generation starts.
+// Start describes the state from which a generation starts.
 type Start struct {
-	// Result is nil if the endpoint computes the prompt itself.
+	// Result is the prefill result, or nil if the endpoint prefills the prompt itself.
 	Result *Result
-	// Reservation is nil if nothing was reserved.
+	// Reservation is the reserved memory, or nil if none was reserved.
 	Reservation *Reservation
 	// After is the number of the last event that the caller has, or NoNumber.
 	After int64
-	// Connected, if set, is to be called once the connection to the endpoint
-	// stands, before anything is sent.
+	// Connected, if set, must be called once the connection to the endpoint is
+	// established, before anything is sent.
 	Connected func()
 }
 
-// NoNumber stands for no event.
+// NoNumber stands for the absence of an event number.
 const NoNumber int64 = -1
 
 // Event is one event of a generation.
 type Event struct {
-	// Number identifies the event for a resume; numbers grow. It may be
-	// NoNumber.
+	// Number identifies the event for a resume. Numbers increase. It may be NoNumber.
 	Number int64
-	// Bytes are delivered as they are.
+	// Bytes is the event as it is delivered to the caller.
 	Bytes []byte
 }
 
 // Stream is a generation in progress.
 type Stream interface {
-	// Head is the answer's head, opaque to decisions.
+	// Head returns the head of the answer, opaque to this package.
 	Head() any
-	// Failed returns the endpoint's whole answer if it reports a failure
-	// instead of generating, else nil.
+	// Failed returns the endpoint's complete answer if it reported a failure instead of
+	// generating, else nil.
 	Failed() *Answer
-	// Next returns the next whole event. It returns io.EOF at the whole end
-	// of the answer and ErrLost if it broke off.
+	// Next returns the next complete event. It returns io.EOF at the end of a complete
+	// answer and ErrLost if the stream broke off.
 	Next() (Event, error)
-	// Close ends the exchange, and the work if it is still in progress.
+	// Close ends the exchange, and cancels the generation if it is still in progress.
 	Close()
 }
 
-// Endpoints speaks to endpoints. Methods return ErrNotRun, ErrLost or the
-// context's error.
+// Endpoints is the client side of the endpoints. Its methods return ErrNotRun, ErrLost or
+// the context's error.
 type Endpoints interface {
-	// Call runs a plain call.
+	// Call executes a plain call.
 	Call(ctx context.Context, e *Endpoint, c *Call) (*Answer, error)
-	// Reserve holds memory for a call.
+	// Reserve reserves memory for a call.
 	Reserve(ctx context.Context, e *Endpoint, c *Call, ask Ask) (*Reservation, error)
-	// Release gives an unused reservation back. It does not wait.
+	// Release releases an unused reservation. It does not block.
 	Release(r *Reservation)
-	// Prefill computes the prompt and keeps the result.
+	// Prefill computes the KV cache of the call's prompt and keeps the result.
 	Prefill(ctx context.Context, e *Endpoint, c *Call) (*Result, error)
-	// Drop frees a result that nobody will use. It does not wait.
+	// Drop frees a result that will not be used. It does not block.
 	Drop(r *Result)
-	// Cached returns the sessions whose prompts an engine keeps, by Session.
+	// Cached returns the sessions whose prompts an engine has in its cache; see
+	// Call.Session.
 	Cached(ctx context.Context, e *Endpoint) (map[string]bool, error)
-	// Alive returns nil if the endpoint answers well, and ErrAbsent or ErrMoved if it
-	// runs no more.
+	// Alive probes an endpoint. It returns nil if the endpoint is healthy, and ErrAbsent
+	// or ErrMoved if it no longer runs.
 	Alive(ctx context.Context, e *Endpoint) error
-	// Order changes an engine's stage. Fence is a fencing number.
+	// Order tells an engine to switch its stage. The fence is a fencing number.
 	Order(ctx context.Context, e *Endpoint, to Role, fence uint64) error
-	// Generate starts a generation and returns with its head.
+	// Generate starts a generation and returns when its head has arrived.
 	Generate(ctx context.Context, e *Endpoint, c *Call, s Start) (Stream, error)
 }
 
-// Sink takes a generation for the caller. Its methods return ErrCaller when
-// the caller has gone.
+// Sink receives the answer to a generation for the caller. Its methods return ErrCaller
+// when the caller has disconnected.
 type Sink interface {
-	// Begin delivers the head; it is called once.
+	// Begin delivers the head. It is called once.
 	Begin(head any) error
 	// Event delivers an event at once.
 	Event(e Event) error
--- a/router/budget_test.go
+++ b/router/budget_test.go
@@ -20,16 +20,16 @@
 type arrival struct {
 	at   time.Time
 	call string
-	// free is an accepted prefill, the first of which counts for nothing.
-	free bool
+	// accepted marks an accepted prefill. The first one of each call is free.
+	accepted bool
 }
 
-// TestBudgetHoldsWhateverFails: endpoints get more repeats than are allowed when
-// every prefill is lost and every generation refused, on entries that start and
-// are killed at odd moments and have not heard of each other. In each window the
-// arrivals beyond the first of each request stay within the ratio of what came
-// and the whole slack.
-func TestBudgetHoldsWhateverFails(t *testing.T) {
+// TestBudgetHoldsUnderFailures guards against more repeats than the retry budget allows.
+// Every prefill is lost and every generation refused, at entries that start and are
+// killed at odd moments and have not heard of each other. In each window the arrivals
+// beyond the first of each request must stay within the ratio of the requests plus the
+// total slack.
+func TestBudgetHoldsUnderFailures(t *testing.T) {
 	t.Run("views differ", func(t *testing.T) { testBudget(t, false) })
 	t.Run("all are killed", func(t *testing.T) { testBudget(t, true) })
 }
@@ -43,22 +43,22 @@
 	)
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
-		var got []arrival
-		var came []time.Time
-		refuse := 0
+		var arrivals []arrival
+		var requests []time.Time
+		prefills := 0
 		f := &fakeEndpoints{}
 		sent := func(kind string, free bool, id string) {
-			got = append(got, arrival{at: time.Now(), call: id, free: free && kind == "prefill"})
+			arrivals = append(arrivals, arrival{at: time.Now(), call: id, accepted: free && kind == "prefill"})
 		}
 		f.prefillCall = func(ctx context.Context, c *router.Call) error {
 			mu.Lock()
 			defer mu.Unlock()
-			refuse++
+			prefills++
 			switch {
-			case c.Hint > 0 || refuse%3 == 0:
+			case c.Hint > 0 || prefills%3 == 0:
 				sent("prefill", true, c.ID)
 				return nil
-			case refuse%3 == 1:
+			case prefills%3 == 1:
 				sent("prefill", false, c.ID)
 				return router.ErrNotRun.New("full")
 			}
@@ -84,7 +84,7 @@
 		var all [entries]*router.Router
 		for i := range all {
 			all[i] = start(false)
-			all[i].SetEntries(1) // it hears nobody yet
+			all[i].SetEntries(1) // it has heard of no other entry yet
 		}
 		time.Sleep(window)
 		for _, r := range all {
@@ -94,36 +94,36 @@
 		for n := 0; time.Now().Before(end); n++ {
 			i := n % entries
 			switch {
-			case kills && n%150 == 149: // all are killed and start again
+			case kills && n%150 == 149: // all are killed and restarted
 				for k := range all {
 					all[k] = start(true)
 				}
 			case n%10 == 0:
-				all[i].SetEntries(1 + n/10%entries) // views differ
+				all[i].SetEntries(1 + n/10%entries) // the entries disagree on their number
 			}
 			time.Sleep(20 * time.Millisecond)
-			c := newCall(draftRoute, llm)
+			c := newCall(resumableRoute, llm)
 			c.ID = strconv.Itoa(n)
-			c.Hint = n % 3 // those with one are accepted for a prefill and then lost
-			came = append(came, time.Now())
+			c.Hint = n % 3 // calls with a hint have their prefill accepted, then lose the generation
+			requests = append(requests, time.Now())
 			r := all[i]
 			go func() { _, _ = r.Generate(t.Context(), c, new(fakeSink)) }()
 		}
 		time.Sleep(20 * time.Second)
 		synctest.Wait()
-		assertBudget(t, got, came, window, ratio, slack)
+		assertBudget(t, arrivals, requests, window, ratio, slack)
 	})
 }
 
-// assertBudget slides a window over the arrivals. Requests count in the window,
-// the one before or the one half a window before, whichever has most.
-func assertBudget(t *testing.T, got []arrival, came []time.Time, window time.Duration, ratio, slack float64) {
+// assertBudget checks the budget in a sliding window. Requests count in the window
+// itself, in the one before or in the one half a window before, whichever has the most.
+func assertBudget(t *testing.T, arrivals []arrival, requests []time.Time, window time.Duration, ratio, slack float64) {
 	t.Helper()
 	first := make(map[string]bool)
 	free := make(map[string]bool)
 	var extra []time.Time
-	for _, a := range got {
-		if a.free && !free[a.call] {
+	for _, a := range arrivals {
+		if a.accepted && !free[a.call] {
 			free[a.call] = true
 			continue
 		}
@@ -142,71 +142,70 @@
 		return n
 	}
 	for _, from := range extra {
-		most := max(within(came, from), within(came, from.Add(-window)), within(came, from.Add(-window/2)))
+		most := max(within(requests, from), within(requests, from.Add(-window)), within(requests, from.Add(-window/2)))
 		assert.LessOrEqual(t, within(extra, from), ratio*most+slack)
 	}
 }
 
-// TestSlackOfANewcomer: entries that start together send more repeats than are
-// allowed. None has heard of all others yet, and each took a twelfth of the slack or
-// more, 68 of them six times the whole.
-func TestSlackOfANewcomer(t *testing.T) {
+// TestSlackOfNewEntry guards against more repeats than allowed when entries start
+// together. Before they had heard of each other, each took a twelfth of the slack or
+// more; 68 entries took six times the total.
+func TestSlackOfNewEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slack = 24
 		r, sent := refusedEverywhere(slack, false)
 		r.SetEntries(2)
-		assert.Zero(t, sent(t), "not all are heard yet")
+		assert.Zero(t, sent(t), "no slack before all entries have been heard from")
 		time.Sleep(slackWindow)
 		r.SetEntries(4)
 		assert.Equal(t, slack/4, sent(t))
 	})
 }
 
-// TestSlackOfTheUnheard: entries that are cut off from each other from their start
-// on take a part of the slack each, for a number of entries that is a guess. One that
-// never heard of another, though there are some, takes none.
-func TestSlackOfTheUnheard(t *testing.T) {
+// TestSlackOfIsolatedEntry guards against entries that are cut off from each other since
+// their start and take a share of the slack for a guessed number of entries. One that has
+// never heard of another, although others exist, must take none.
+func TestSlackOfIsolatedEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slack = 24
 		_, cutOff := refusedEverywhere(slack, false)
 		r, alone := refusedEverywhere(slack, true)
 		time.Sleep(slackWindow)
 		assert.Zero(t, cutOff(t))
-		assert.Equal(t, slack, alone(t), "it is alone by its settings")
+		assert.Equal(t, slack, alone(t), "configured as the sole entry")
 		time.Sleep(slackWindow)
-		r.SetEntries(3) // one with seeds of its own came
+		r.SetEntries(3) // an entry that was not configured here appears
 		assert.Equal(t, slack/3, alone(t))
 	})
 }
 
-// slackWindow is longer than refusedEverywhere's drafts take.
+// slackWindow exceeds the duration of the generations of refusedEverywhere.
 const slackWindow = time.Minute
 
-// refusedEverywhere returns a router whose budget is only its slack, and a function
-// that sends drafts which every engine refuses, and counts the repeats.
+// refusedEverywhere returns a router whose budget is only its slack, and a function that
+// sends generations which every engine refuses and returns the number of repeats.
 func refusedEverywhere(slack int, alone bool) (*router.Router, func(t *testing.T) int) {
 	f := &fakeEndpoints{generate: func(*router.Endpoint, router.Start) error { return router.ErrNotRun.New("full") }}
 	r := router.New(router.Settings{RetryWindow: slackWindow, RetrySlack: float64(slack), Alone: alone}, f, event.Nop(), metrics.NewSet())
 	list := []*router.Endpoint{engine("d1", router.Decode), engine("d2", router.Decode)}
 	r.SetDirectory(router.NewDirectory(1, 0, nil, []*router.Service{llm}, list))
 	return r, func(t *testing.T) int {
-		const drafts = 30
-		before := count(f.notes(), "generate")
-		for range drafts {
-			_, fail := r.Generate(t.Context(), newCall(draftRoute, llm), new(fakeSink))
+		const generations = 30
+		before := count(f.recorded(), "generate")
+		for range generations {
+			_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), new(fakeSink))
 			assert.NotNil(t, fail)
 		}
-		return count(f.notes(), "generate") - before - drafts
+		return count(f.recorded(), "generate") - before - generations
 	}
 }
 
-// TestNoPromptWithoutAnArrival: in seconds in which engines lose answers, callers are
-// refused for want of retries right after their prompt was computed once more. The
-// second prefill took the last retry, and none was left for the answer.
+// TestPrefillNeedsBudgetForDecode guards against a repeated prefill that takes the last
+// retry of the budget, so that none is left to decode it.
 //
-// 513 of 829 requests given up on in a day failed with "the retry budget is used up",
-// and 700 computed prompts were wasted.
-func TestNoPromptWithoutAnArrival(t *testing.T) {
+// While engines lost answers, 513 of 829 requests given up on in a day failed because the
+// retry budget was exhausted, and 700 prefills were wasted.
+func TestPrefillNeedsBudgetForDecode(t *testing.T) {
 	for slack, want := range map[int]int{1: 1, 2: 2, 3: 2, 4: 3} {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fakeEndpoints{generate: func(*router.Endpoint, router.Start) error { return router.ErrLost.New("reset") }}
@@ -216,12 +215,12 @@
 				list = append(list, engine(id, router.Prefill))
 			}
 			r.SetDirectory(router.NewDirectory(1, 0, nil, []*router.Service{llm}, list))
-			route := draftRoute
+			route := resumableRoute
 			route.MaxAttempts = 3
 			_, fail := r.Generate(t.Context(), newCall(route, llm), new(fakeSink))
 			require.NotNil(t, fail)
-			assert.Equal(t, want, count(f.notes(), "prefill"), "slack %d", slack)
-			assert.Equal(t, want, count(f.notes(), "generate"), "slack %d", slack)
+			assert.Equal(t, want, count(f.recorded(), "prefill"), "slack %d", slack)
+			assert.Equal(t, want, count(f.recorded(), "generate"), "slack %d", slack)
 		})
 	}
 }
--- a/router/cached.go
+++ b/router/cached.go
@@ -14,84 +14,88 @@
 	"ebonypulley/event"
 )
 
-// Entries are killed with tens of answers
-// in progress, and their callers ask for the rest at once, at entries that
-// know nothing. Each prompt is still cached at the engine that made the first
-// part of the answer; elsewhere it would be computed anew, which costs about
-// as much as the answer is worth.
+// Lookup of cached prompts for resumed generations.
+//
+// When entries crash with tens of answers in progress, their callers resume at other
+// entries, which have no state about them. Each prompt is still cached at the engine that
+// generated the first part of the answer. Elsewhere it would be prefilled once more,
+// which costs about as much as the answer itself.
 const (
-	// cachedFor is how long an engine's list of cached prompts is used.
-	cachedFor = 700 * time.Millisecond
-	// cachedTimeout bounds the questions for one prompt; without an answer it is
-	// computed anew.
-	cachedTimeout = 150 * time.Millisecond
-	// cachedPatience is how long the engines that are asked first may take until the
-	// next ones are asked too.
-	cachedPatience = 50 * time.Millisecond
-	// cachedMost bounds the engines that are asked for one prompt, however many there are.
-	cachedMost = 8 * someOf
+	// cacheListTTL is how long the list of an engine's cached prompts is used.
+	cacheListTTL = 700 * time.Millisecond
+	// cacheLookupTimeout bounds the lookup for one prompt. If it expires, the prompt is
+	// prefilled once more.
+	cacheLookupTimeout = 150 * time.Millisecond
+	// cacheLookupStagger is how long one batch of engines may take to answer before the
+	// next batch is asked too.
+	cacheLookupStagger = 50 * time.Millisecond
+	// maxCacheLookups is the maximum number of engines asked for one prompt, however large
+	// the fleet.
+	maxCacheLookups = 8 * sampleSize
 )
 
-// cachedLists holds what decode engines said that they cache, by the engine's ID.
-type cachedLists struct {
+// cacheIndex holds the cached sessions of decode engines, by engine ID.
+type cacheIndex struct {
 	mu      sync.Mutex
-	engines map[string]*cachedList
+	engines map[string]*cachedSessions
 	swept   time.Time
 }
 
-// cachedList is what one engine caches; done is closed when it has answered or the time is
-// over.
-type cachedList struct {
+// cachedSessions holds the sessions that one engine caches. done is closed when the
+// engine has answered or the request timed out.
+type cachedSessions struct {
 	at       time.Time
 	done     chan struct{}
 	sessions map[string]bool
 }
 
-// holder returns the engine that caches a session's prompt, or nil. Generations go to engines
-// that are drawn by what is asked for, so the first of these are asked, then some more.
+// cachingEngine returns the engine that caches a session's prompt, or nil.
 //
-// Hundreds of entries are killed, and each of those that come asks hundreds of engines. It
-// shows as answers that go on seconds later, while the small VMs make connections.
-func (r *Router) holder(ctx context.Context, c *Call) *Endpoint {
+// Generations are placed among the first engines in the rendezvous order of their content
+// hash, so those are asked first, in growing batches. After a crash of many entries,
+// asking hundreds of engines for each resumed generation would occupy small VMs with
+// connection set-up for seconds.
+func (r *Router) cachingEngine(ctx context.Context, c *Call) *Endpoint {
 	if c.Session == "" {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, cachedTimeout)
+	ctx, cancel := context.WithTimeout(ctx, cacheLookupTimeout)
 	defer cancel()
-	engines := r.drawnEngines(c)
+	engines := r.enginesByHash(c)
 	found := make(chan *Endpoint, len(engines))
 	pending := 0
-	for batch := someOf; len(engines) > 0; batch *= 2 {
+	for batch := sampleSize; len(engines) > 0; batch *= 2 {
 		n := min(batch, len(engines))
 		for _, e := range engines[:n] {
-			go func() { found <- r.cachedAt(ctx, c.Session, e) }()
+			go func() { found <- r.checkCached(ctx, c.Session, e) }()
 		}
 		engines, pending = engines[n:], pending+n
-		patience := cachedPatience
+		timeout := cacheLookupStagger
 		if len(engines) == 0 {
-			patience = cachedTimeout
+			timeout = cacheLookupTimeout
 		}
-		if e := firstOf(found, &pending, patience); e != nil {
+		if e := firstFound(found, &pending, timeout); e != nil {
 			return e
 		}
 	}
 	return nil
 }
 
-// drawnEngines returns the engines to ask for a call's prompt, in order.
-func (r *Router) drawnEngines(c *Call) []*Endpoint {
+// enginesByHash returns the engines to ask for a call's prompt, in rendezvous order.
+func (r *Router) enginesByHash(c *Call) []*Endpoint {
 	all := r.Directory().Endpoints(c.Service.Name, Decode)
-	order := drawn(c.Content, len(all), func(i int) string { return all[i].ID })
-	engines := make([]*Endpoint, 0, cachedMost)
-	for _, i := range order[:min(len(order), cachedMost)] {
+	order := rendezvousOrder(c.Content, len(all), func(i int) string { return all[i].ID })
+	engines := make([]*Endpoint, 0, maxCacheLookups)
+	for _, i := range order[:min(len(order), maxCacheLookups)] {
 		engines = append(engines, all[i])
 	}
 	return engines
 }
 
-// firstOf returns the first engine found, or nil once none is pending or the time is over.
-func firstOf(found <-chan *Endpoint, pending *int, patience time.Duration) *Endpoint {
-	timer := time.NewTimer(patience)
+// firstFound returns the first engine found, or nil when none is pending or the time is
+// up.
+func firstFound(found <-chan *Endpoint, pending *int, timeout time.Duration) *Endpoint {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for ; *pending > 0; *pending-- {
 		select {
@@ -106,9 +110,9 @@
 	return nil
 }
 
-// cachedAt returns the engine if it caches a session's prompt, else nil.
-func (r *Router) cachedAt(ctx context.Context, session string, e *Endpoint) *Endpoint {
-	list := r.cachedList(e)
+// checkCached returns the engine if it caches a session's prompt, else nil.
+func (r *Router) checkCached(ctx context.Context, session string, e *Endpoint) *Endpoint {
+	list := r.cachedSessions(e)
 	select {
 	case <-list.done:
 	case <-ctx.Done():
@@ -120,37 +124,38 @@
 	return e
 }
 
-// cachedList returns what an engine caches, which callers at the same moment ask once.
-func (r *Router) cachedList(e *Endpoint) *cachedList {
+// cachedSessions returns the sessions that an engine caches. Concurrent callers share one
+// request.
+func (r *Router) cachedSessions(e *Endpoint) *cachedSessions {
 	now := time.Now()
-	r.cached.mu.Lock()
-	defer r.cached.mu.Unlock()
-	r.cached.sweep(now)
-	list := r.cached.engines[e.ID]
-	if list == nil || now.Sub(list.at) > cachedFor {
-		list = &cachedList{at: now, done: make(chan struct{})}
-		r.cached.engines[e.ID] = list
-		go r.askCached(list, e)
+	r.cacheIndex.mu.Lock()
+	defer r.cacheIndex.mu.Unlock()
+	r.cacheIndex.sweep(now)
+	list := r.cacheIndex.engines[e.ID]
+	if list == nil || now.Sub(list.at) > cacheListTTL {
+		list = &cachedSessions{at: now, done: make(chan struct{})}
+		r.cacheIndex.engines[e.ID] = list
+		go r.fetchCached(list, e)
 	}
 	return list
 }
 
-// sweep forgets old lists; c.mu is held.
-func (c *cachedLists) sweep(now time.Time) {
+// sweep drops expired lists; c.mu must be held.
+func (c *cacheIndex) sweep(now time.Time) {
 	if c.engines == nil {
-		c.engines = make(map[string]*cachedList)
+		c.engines = make(map[string]*cachedSessions)
 	}
-	if now.Sub(c.swept) < cachedFor {
+	if now.Sub(c.swept) < cacheListTTL {
 		return
 	}
 	c.swept = now
-	maps.DeleteFunc(c.engines, func(_ string, l *cachedList) bool { return now.Sub(l.at) > cachedFor })
+	maps.DeleteFunc(c.engines, func(_ string, l *cachedSessions) bool { return now.Sub(l.at) > cacheListTTL })
 }
 
-// askCached fills a list.
-func (r *Router) askCached(list *cachedList, e *Endpoint) {
+// fetchCached requests the cached sessions of an engine.
+func (r *Router) fetchCached(list *cachedSessions, e *Endpoint) {
 	defer close(list.done)
-	ctx, cancel := context.WithTimeout(context.Background(), cachedTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), cacheLookupTimeout)
 	defer cancel()
 	sessions, err := r.endpoints.Cached(ctx, e)
 	if err != nil {
@@ -160,20 +165,20 @@
 	list.sessions = sessions
 }
 
-// drawn returns the numbers of so many endpoints in an order of a content's own, by rendezvous
-// hashing: it is the same at all entries, and those that stay keep their order when others come
-// and go.
-func drawn(content uint64, n int, id func(i int) string) []int {
-	chances, order := make([]uint64, n), make([]int, n)
+// rendezvousOrder returns the indices of n endpoints in the order given by rendezvous
+// hashing of a content hash. All entries compute the same order, and endpoints keep their
+// relative order when others are added or removed.
+func rendezvousOrder(content uint64, n int, id func(i int) string) []int {
+	hashes, order := make([]uint64, n), make([]int, n)
 	for i := range n {
-		chances[i], order[i] = mixed(content^xxhash.Sum64String(id(i))), i
+		hashes[i], order[i] = mix64(content^xxhash.Sum64String(id(i))), i
 	}
-	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(chances[a], chances[b]) })
+	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(hashes[a], hashes[b]) })
 	return order
 }
 
-// mixed spreads the bits of a number, as splitmix64 does.
-func mixed(x uint64) uint64 {
+// mix64 is the finalizer of splitmix64.
+func mix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
--- a/router/delivery.go
+++ b/router/delivery.go
@@ -5,32 +5,33 @@
 	"sync"
 )
 
-// deliveryMost bounds the events that wait for one caller, in bytes: more than most answers
-// have, and little of the smallest VM's memory with a hundred slow callers.
-const deliveryMost = 64 << 10
+// maxBuffered is the maximum size in bytes of the events that are buffered for one
+// caller. It exceeds the size of most answers, and a hundred slow callers need little of
+// the smallest VM's memory.
+const maxBuffered = 64 << 10
 
-// delivery hands the events of one answer to its caller, who may read slowly. Events wait here
-// up to deliveryMost, so that the endpoint is read as it sends.
+// delivery buffers the events of one answer for a caller that may read slowly.
 //
-// A caller reads nothing for seconds. It shows as an endpoint that is taken for silent or cuts
-// the answer off, and as a prompt that is computed again. The guard holds because the endpoint
-// is read whatever the caller does.
+// It reads the endpoint at the endpoint's pace, up to maxBuffered ahead of the caller.
+// Without the buffer, a caller that stops reading for some seconds makes the endpoint
+// look silent or makes it abort the stream, and the prompt is prefilled once more.
 type delivery struct {
 	sink Sink
 
 	mu    sync.Mutex
 	queue []Event
-	// held is the size of queue in bytes.
-	held int
-	// ended says that no event follows, err why the caller takes none any more.
-	ended bool
-	err   error
-	// changed tells of each change of the above, done is closed when all is written.
+	// buffered is the size of queue in bytes.
+	buffered int
+	// closed says that no more events follow. err is the error of the sink.
+	closed bool
+	err    error
+	// changed is signalled on each change of the fields above. done is closed when the
+	// writer has ended.
 	changed *sync.Cond
 	done    chan struct{}
 }
 
-// newDelivery returns a delivery, which finish must end.
+// newDelivery starts a delivery. It must be ended with finish.
 func newDelivery(sink Sink) *delivery {
 	d := &delivery{sink: sink, done: make(chan struct{})}
 	d.changed = sync.NewCond(&d.mu)
@@ -38,14 +39,14 @@
 	return d
 }
 
-// put adds an event; it waits while too many wait already. It returns why the caller takes none
-// any more.
+// put queues an event, and blocks while the buffer is full. It returns the sink's error,
+// if any.
 func (d *delivery) put(ctx context.Context, ev Event) error {
 	stop := context.AfterFunc(ctx, d.wake)
 	defer stop()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for d.held >= deliveryMost && d.err == nil && ctx.Err() == nil {
+	for d.buffered >= maxBuffered && d.err == nil && ctx.Err() == nil {
 		d.changed.Wait()
 	}
 	if d.err != nil {
@@ -55,29 +56,29 @@
 		return ErrCaller.Wrap(ctx.Err(), "deliver")
 	}
 	d.queue = append(d.queue, ev)
-	d.held += len(ev.Bytes)
+	d.buffered += len(ev.Bytes)
 	d.changed.Broadcast()
 	return nil
 }
 
-// finish waits until all events are with the caller, and returns why they are not.
+// finish waits until the caller has received all events, and returns the sink's error.
 func (d *delivery) finish() error {
 	d.mu.Lock()
-	d.ended = true
+	d.closed = true
 	d.changed.Broadcast()
 	d.mu.Unlock()
 	<-d.done
 	return d.err
 }
 
-// wake lets those that wait look again.
+// wake wakes the waiters so that they check their context.
 func (d *delivery) wake() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.changed.Broadcast()
 }
 
-// write hands on events until the last one or the first failure.
+// write passes events to the sink until the last one or the first error.
 func (d *delivery) write() {
 	defer close(d.done)
 	for {
@@ -96,7 +97,7 @@
 func (d *delivery) next() (Event, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for len(d.queue) == 0 && !d.ended {
+	for len(d.queue) == 0 && !d.closed {
 		d.changed.Wait()
 	}
 	if len(d.queue) == 0 {
@@ -104,12 +105,12 @@
 	}
 	ev := d.queue[0]
 	d.queue = d.queue[1:]
-	d.held -= len(ev.Bytes)
+	d.buffered -= len(ev.Bytes)
 	d.changed.Broadcast()
 	return ev, true
 }
 
-// fail ends the delivery.
+// fail records the sink's error and drops the queue.
 func (d *delivery) fail(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/router/directory.go
+++ b/router/directory.go
@@ -7,39 +7,40 @@
 	"ebonypulley/quota"
 )
 
-// Directory is one consistent view of what is published. It is read-only.
+// Directory is an immutable, consistent snapshot of the published routes, services,
+// workspaces and endpoints.
 type Directory struct {
-	// Version is that of the configuration; zero means none.
+	// Version is the version of the configuration, or zero if there is none.
 	Version uint64
-	// MaxBody is the longest request body in bytes.
+	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody  int64
 	hosts    map[string]*hostRoutes
 	services map[string]*Service
-	// endpoints take new work; by service.
+	// endpoints holds the endpoints that accept new work, by service.
 	endpoints map[string][]*Endpoint
-	// workspaces are those published, nil if callers need no key, by the digests of their
-	// keys, and limits the limits of those that have one.
+	// workspaces maps key digests to workspaces; it is nil if callers need no key. limits
+	// holds the limits of the workspaces that have one.
 	workspaces map[KeyDigest]*Workspace
 	limits     map[quota.ID]quota.Limit
-	// firsts holds the rank of each service's most urgent routes.
-	firsts map[string]int
+	// topRanks holds the rank of the most urgent route of each service.
+	topRanks map[string]int
 }
 
-// NewDirectory indexes routes, services and the endpoints that take new work.
+// NewDirectory indexes routes, services and the endpoints that accept new work.
 func NewDirectory(version uint64, maxBody int64, routes []*Route, services []*Service, endpoints []*Endpoint) *Directory {
 	d := &Directory{
 		Version:  version,
 		MaxBody:  maxBody,
 		hosts:    make(map[string]*hostRoutes),
 		services: make(map[string]*Service, len(services)),
-		firsts:   make(map[string]int),
+		topRanks: make(map[string]int),
 	}
 	for _, r := range routes {
-		d.add(r)
-		d.rank(r)
+		d.addRoute(r)
+		d.recordRank(r)
 	}
 	for _, h := range d.hosts {
-		h.sort()
+		h.sortLengths()
 	}
 	for _, s := range services {
 		d.services[s.Name] = s
@@ -47,8 +48,7 @@
 	return d.WithEndpoints(endpoints)
 }
 
-// WithWorkspaces returns a directory whose callers need the key of a workspace, and that
-// shares the rest.
+// WithWorkspaces returns a copy of the directory in which callers need a workspace key.
 func (d *Directory) WithWorkspaces(list []*Workspace) *Directory {
 	out := *d
 	out.workspaces = make(map[KeyDigest]*Workspace, len(list))
@@ -64,17 +64,17 @@
 	return &out
 }
 
-// Keyed reports whether callers need a key.
+// Keyed reports whether callers need a workspace key.
 func (d *Directory) Keyed() bool { return d.workspaces != nil }
 
-// Workspace returns the workspace of a key, or nil.
+// Workspace returns the workspace that a key belongs to, or nil.
 func (d *Directory) Workspace(key KeyDigest) *Workspace { return d.workspaces[key] }
 
-// WithEndpoints returns a directory of other endpoints that shares the rest.
+// WithEndpoints returns a copy of the directory with other endpoints.
 //
-// Dozens of endpoints come and go beside thousands of
-// routes. Indexing 4,000 routes anew for each takes 15 ms of a core, a tenth of a
-// second on the smallest entry.
+// The copy shares the route index: endpoints change far more often than routes, and
+// indexing 4,000 routes takes 15 ms of CPU time on a full core and about 100 ms on the
+// smallest entry.
 func (d *Directory) WithEndpoints(endpoints []*Endpoint) *Directory {
 	out := *d
 	out.endpoints = make(map[string][]*Endpoint)
@@ -84,7 +84,7 @@
 	return &out
 }
 
-// Complete reports whether each service has an endpoint that can answer.
+// Complete reports whether each service has an endpoint that can answer requests.
 func (d *Directory) Complete() bool {
 	for name, s := range d.services {
 		role := Plain
@@ -98,7 +98,7 @@
 	return true
 }
 
-// without returns a directory without some endpoints that shares the rest.
+// without returns a copy of the directory without the endpoints in ids.
 func (d *Directory) without(ids map[string]time.Time) *Directory {
 	var kept []*Endpoint
 	for _, list := range d.endpoints {
@@ -111,16 +111,17 @@
 	return d.WithEndpoints(kept)
 }
 
-// hostRoutes are the routes of one host.
+// hostRoutes indexes the routes of one host.
 type hostRoutes struct {
 	byPrefix map[string]*Route
-	// lengths are those of the prefixes, each once, the longest first: routes
-	// are many, lengths few.
-	lengths []int
+	// prefixLengths holds the distinct prefix lengths in descending order. There are many
+	// routes but few lengths, so a lookup tries each length.
+	prefixLengths []int
 }
 
-// add indexes a route; the first one of a host and prefix counts.
-func (d *Directory) add(r *Route) {
+// addRoute indexes a route. If several routes have the same host and prefix, the first
+// one is used.
+func (d *Directory) addRoute(r *Route) {
 	h := d.hosts[r.Host]
 	if h == nil {
 		h = &hostRoutes{byPrefix: make(map[string]*Route)}
@@ -131,39 +132,39 @@
 	}
 }
 
-func (h *hostRoutes) sort() {
+func (h *hostRoutes) sortLengths() {
 	for prefix := range h.byPrefix {
-		if !slices.Contains(h.lengths, len(prefix)) {
-			h.lengths = append(h.lengths, len(prefix))
+		if !slices.Contains(h.prefixLengths, len(prefix)) {
+			h.prefixLengths = append(h.prefixLengths, len(prefix))
 		}
 	}
-	slices.Sort(h.lengths)
-	slices.Reverse(h.lengths)
+	slices.Sort(h.prefixLengths)
+	slices.Reverse(h.prefixLengths)
 }
 
-// rank notes the rank of a route at its services.
-func (d *Directory) rank(r *Route) {
+// recordRank updates the top ranks of the route's services.
+func (d *Directory) recordRank(r *Route) {
 	for _, s := range r.Services {
-		first, ok := d.firsts[s.Service]
+		first, ok := d.topRanks[s.Service]
 		if !ok || r.Rank < first {
-			d.firsts[s.Service] = r.Rank
+			d.topRanks[s.Service] = r.Rank
 		}
 	}
 }
 
-// Yields reports whether a service has more urgent routes than this one.
-func (d *Directory) Yields(r *Route, service string) bool {
-	first, ok := d.firsts[service]
+// HasMoreUrgent reports whether the service has a more urgent route than r.
+func (d *Directory) HasMoreUrgent(r *Route, service string) bool {
+	first, ok := d.topRanks[service]
 	return ok && first < r.Rank
 }
 
-// Route returns the route of the longest prefix of path, or nil.
+// Route returns the route with the longest prefix of path, or nil.
 func (d *Directory) Route(host, path string) *Route {
 	h := d.hosts[host]
 	if h == nil {
 		return nil
 	}
-	for _, n := range h.lengths {
+	for _, n := range h.prefixLengths {
 		if n > len(path) {
 			continue
 		}
@@ -174,10 +175,10 @@
 	return nil
 }
 
-// Service returns a service by name, or nil.
+// Service returns the service with this name, or nil.
 func (d *Directory) Service(name string) *Service { return d.services[name] }
 
-// Endpoints returns those of a service and role that take new work.
+// Endpoints returns the endpoints of a service and role that accept new work.
 func (d *Directory) Endpoints(service string, role Role) []*Endpoint {
 	all := d.endpoints[service]
 	list := make([]*Endpoint, 0, len(all))
@@ -189,7 +190,7 @@
 	return list
 }
 
-// Size returns the number of endpoints.
+// Size returns the number of endpoints that accept new work.
 func (d *Directory) Size() (n int) {
 	for _, list := range d.endpoints {
 		n += len(list)
@@ -197,8 +198,8 @@
 	return n
 }
 
-// Has reports whether an endpoint still takes new work.
-func (d *Directory) Has(e *Endpoint) bool {
+// Contains reports whether the endpoint still accepts new work.
+func (d *Directory) Contains(e *Endpoint) bool {
 	for _, x := range d.endpoints[e.Service] {
 		if x.ID == e.ID {
 			return true
--- a/router/directory_test.go
+++ b/router/directory_test.go
@@ -9,9 +9,8 @@
 	"ebonypulley/router"
 )
 
-// TestLongestPrefix: a request goes to the service of a shorter prefix, or to
-// none. Whatever the prefixes, the route is that of the longest one which begins
-// the path, and of equal ones the first.
+// TestLongestPrefix: for any set of prefixes, the route is the one with the longest
+// prefix of the path; of equal ones, the first.
 func TestLongestPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		word := rapid.StringMatching(`/([ab]/){0,4}`)
--- a/router/fake_test.go
+++ b/router/fake_test.go
@@ -16,52 +16,52 @@
 	"ebonypulley/router"
 )
 
-// fakeEndpoints answers in virtual time as its hooks say.
+// fakeEndpoints answers in virtual time, as its hooks determine.
 type fakeEndpoints struct {
 	mu  sync.Mutex
 	log []string
-	// call answers plain calls; nil answers well after 60 ms.
+	// call answers plain calls; if nil, they succeed after 60 ms.
 	call func(ctx context.Context, e *router.Endpoint) (*router.Answer, error)
-	// prefill and generate fail if they return an error.
+	// prefill and generate make the request fail if they return an error.
 	prefill  func(ctx context.Context, e *router.Endpoint) error
 	generate func(e *router.Endpoint, s router.Start) error
-	// alive fails if it returns an error.
+	// alive makes a probe fail if it returns an error.
 	alive func(ctx context.Context, e *router.Endpoint) error
-	// prefillCall and generateCall are the same for hooks that want the call.
+	// prefillCall and generateCall are like prefill and generate, but receive the call.
 	prefillCall  func(ctx context.Context, c *router.Call) error
 	generateCall func(c *router.Call) error
-	// connect is what happens before a generation is sent.
+	// connect runs before a generation is sent.
 	connect func(ctx context.Context, e *router.Endpoint) error
-	// reserve refuses if it returns an error.
+	// reserve refuses the reservation if it returns an error.
 	reserve func(e *router.Endpoint) error
-	// breakAt ends a stream after that event, once for each entry of the list.
+	// breakAt lists event numbers; for each, one stream breaks off after that event.
 	breakAt []int64
-	// cached names the engine that keeps a session.
+	// cached maps a session to the engine that caches it.
 	cached map[string]string
-	// pause is the time between two events; events the number of them.
+	// pause is the gap between two events, events their number.
 	pause  time.Duration
 	events int64
-	// longPause is the time before event 4, once.
+	// longPause is the gap before event 4, once.
 	longPause time.Duration
-	// firstAfter, if set, is when the first event comes, even to an attempt that
-	// was ended meanwhile.
+	// firstAfter, if set, is when the first event arrives, even if the attempt was ended
+	// meanwhile.
 	firstAfter time.Duration
 }
 
-func (f *fakeEndpoints) note(format string, args ...any) {
+func (f *fakeEndpoints) record(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.log = append(f.log, fmt.Sprintf(format, args...))
 }
 
-func (f *fakeEndpoints) notes() []string {
+func (f *fakeEndpoints) recorded() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string(nil), f.log...)
 }
 
 func (f *fakeEndpoints) Call(ctx context.Context, e *router.Endpoint, _ *router.Call) (*router.Answer, error) {
-	f.note("call %s", e.ID)
+	f.record("call %s", e.ID)
 	if f.call != nil {
 		return f.call(ctx, e)
 	}
@@ -79,14 +79,14 @@
 			return nil, err
 		}
 	}
-	f.note("reserve %s", e.ID)
+	f.record("reserve %s", e.ID)
 	return &router.Reservation{Endpoint: e}, nil
 }
 
-func (f *fakeEndpoints) Release(r *router.Reservation) { f.note("release %s", r.Endpoint.ID) }
+func (f *fakeEndpoints) Release(r *router.Reservation) { f.record("release %s", r.Endpoint.ID) }
 
 func (f *fakeEndpoints) Prefill(ctx context.Context, e *router.Endpoint, c *router.Call) (*router.Result, error) {
-	f.note("prefill %s", e.ID)
+	f.record("prefill %s", e.ID)
 	if f.prefillCall != nil {
 		if err := f.prefillCall(ctx, c); err != nil {
 			return nil, err
@@ -105,10 +105,10 @@
 	return &router.Result{Endpoint: e, Expiry: time.Now().Add(500 * time.Millisecond)}, nil
 }
 
-func (f *fakeEndpoints) Drop(r *router.Result) { f.note("drop %s", r.Endpoint.ID) }
+func (f *fakeEndpoints) Drop(r *router.Result) { f.record("drop %s", r.Endpoint.ID) }
 
 func (f *fakeEndpoints) Cached(_ context.Context, e *router.Endpoint) (map[string]bool, error) {
-	f.note("cached %s", e.ID)
+	f.record("cached %s", e.ID)
 	held := make(map[string]bool)
 	for session, id := range f.cached {
 		held[session] = id == e.ID
@@ -120,7 +120,7 @@
 }
 
 func (f *fakeEndpoints) Alive(ctx context.Context, e *router.Endpoint) error {
-	f.note("alive %s", e.ID)
+	f.record("alive %s", e.ID)
 	if f.alive != nil {
 		return f.alive(ctx, e)
 	}
@@ -128,12 +128,12 @@
 }
 
 func (f *fakeEndpoints) Order(_ context.Context, e *router.Endpoint, _ router.Role, fence uint64) error {
-	f.note("order %s %d", e.ID, fence)
+	f.record("order %s %d", e.ID, fence)
 	return nil
 }
 
 func (f *fakeEndpoints) Generate(ctx context.Context, e *router.Endpoint, c *router.Call, s router.Start) (router.Stream, error) {
-	f.note("generate %s result=%t after=%d", e.ID, s.Result != nil, s.After)
+	f.record("generate %s result=%t after=%d", e.ID, s.Result != nil, s.After)
 	if f.connect != nil {
 		if err := f.connect(ctx, e); err != nil {
 			return nil, err
@@ -170,7 +170,7 @@
 		return router.Event{}, io.EOF
 	}
 	if s.next == 1 && s.f.firstAfter > 0 {
-		time.Sleep(s.f.firstAfter) // it is on its way, whatever the router decides
+		time.Sleep(s.f.firstAfter) // the event is in flight, whatever the router decides
 	}
 	pause := s.f.pause
 	if s.next == 1 && s.f.firstAfter > 0 {
@@ -195,7 +195,7 @@
 	return router.Event{Number: s.next - 1}, nil
 }
 
-// fakeSink keeps the numbers that the caller got.
+// fakeSink records the event numbers that the caller received.
 type fakeSink struct {
 	heads int
 	got   []int64
@@ -225,7 +225,7 @@
 	return &router.Endpoint{ID: id, Addr: id, Service: "app", DataCentre: "dc-1", Slots: 6}
 }
 
-// ownSlack is the retry slack of the only entry of a test.
+// ownSlack is the retry slack of the only entry in a test.
 const ownSlack = 8
 
 func newRouter(f *fakeEndpoints, endpoints ...*router.Endpoint) *router.Router {
@@ -235,7 +235,7 @@
 	return newRouterOf(f, endpoints...)
 }
 
-// newRouterOf is newRouter for endpoints that do more than the fake ones.
+// newRouterOf is newRouter for other implementations of Endpoints.
 func newRouterOf(f router.Endpoints, endpoints ...*router.Endpoint) *router.Router {
 	r := router.New(router.Settings{DataCentre: "dc-1", RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: ownSlack, Alone: true}, f, event.Nop(), metrics.NewSet())
 	r.SetDirectory(router.NewDirectory(1, 0, nil, []*router.Service{llm, app}, endpoints))
@@ -252,13 +252,13 @@
 }
 
 var (
-	lookupRoute  = router.Route{Name: "lookup", Kind: router.Idempotent, MaxAttempts: 2, Target: 300 * time.Millisecond}
-	bookingRoute = router.Route{Name: "booking", Kind: router.NonIdempotent, MaxAttempts: 1, Target: 300 * time.Millisecond}
-	draftRoute   = router.Route{Name: "draft", Kind: router.Generation, MaxAttempts: 2, Resumable: true, Target: 900 * time.Millisecond, Patience: 3600 * time.Millisecond}
-	letterRoute  = router.Route{Name: "letter", Kind: router.Generation, MaxAttempts: 1, Target: 900 * time.Millisecond, Patience: 3600 * time.Millisecond}
+	idempotentRoute    = router.Route{Name: "lookup", Kind: router.Idempotent, MaxAttempts: 2, Target: 300 * time.Millisecond}
+	nonIdempotentRoute = router.Route{Name: "booking", Kind: router.NonIdempotent, MaxAttempts: 1, Target: 300 * time.Millisecond}
+	resumableRoute     = router.Route{Name: "draft", Kind: router.Generation, MaxAttempts: 2, Resumable: true, Target: 900 * time.Millisecond, Patience: 3600 * time.Millisecond}
+	nonResumableRoute  = router.Route{Name: "letter", Kind: router.Generation, MaxAttempts: 1, Target: 900 * time.Millisecond, Patience: 3600 * time.Millisecond}
 )
 
-// refusedAtOnce wants a refusal that takes no time and says when to come back.
+// refusedAtOnce requires a refusal without delay that suggests a retry time.
 func refusedAtOnce(t *testing.T, why router.Why, send func() *router.Failure) {
 	t.Helper()
 	began := time.Now()
--- a/router/gated.go
+++ b/router/gated.go
@@ -11,59 +11,58 @@
 	"ebonypulley/event"
 )
 
-// Chooser chooses endpoints in fleets where each endpoint stands behind a gate
-// of its own. Such a gate queues requests by priority, grants memory exactly,
-// watches its endpoint and says when something is lost there. The router then
-// leaves waiting to the queues, reckons with no work of other processes and
-// does not time the silence of endpoints; all else is decided as without
-// gates.
+// Chooser chooses endpoints in fleets with an agent in front of each endpoint. An agent
+// queues requests by priority, grants memory exactly, monitors its endpoint and reports
+// what is lost there. The router then leaves queueing to the agents, ignores the load of
+// other entries and does not time out silent endpoints. All other decisions are the same
+// as without agents.
 type Chooser interface {
-	// Choose returns an endpoint of a role for a call. It may wait a little
-	// for one to be ready. Tried ones come last.
+	// Choose returns an endpoint of a role for a call. It may wait briefly for one to be
+	// ready. Endpoints tried before are the last choice.
 	Choose(ctx context.Context, c *Call, role Role, tried map[string]bool) (*Endpoint, error)
-	// Usable reports whether an endpoint still takes new work.
+	// Usable reports whether an endpoint still accepts new work.
 	Usable(e *Endpoint) bool
 }
 
 const (
-	// freeExpiries is how many times work that a gate dropped, because it did
-	// not hear this process, is begun again without drawing on the budget.
+	// freeExpiries is how many times an attempt that ended with ErrExpired is repeated
+	// without charging the retry budget.
 	//
-	// This process was paused or cut off, and all its
-	// generations lose their memory at once. The budget is far smaller, and
-	// the endpoints are well.
+	// After this process was paused or cut off from the network, all its generations lose
+	// their memory at once. The budget is far smaller than their number, and the endpoints
+	// are healthy.
 	freeExpiries = 2
-	// ownerWait is how long a call waits for the owner of its idempotency key:
-	// as long as a replaced process takes to come back.
-	ownerWait  = 5 * time.Second
-	ownerPause = 100 * time.Millisecond
+	// keyOwnerTimeout is how long a call waits for the owner of its idempotency key: the
+	// time that a replaced process takes to come back.
+	keyOwnerTimeout      = 5 * time.Second
+	keyOwnerPollInterval = 100 * time.Millisecond
 )
 
-func (r *Router) gated() bool { return r.set.Chooser != nil }
+func (r *Router) usesAgents() bool { return r.set.Chooser != nil }
 
-// usable reports whether an endpoint still takes new work.
+// usable reports whether an endpoint still accepts new work.
 func (r *Router) usable(e *Endpoint) bool {
-	if r.gated() {
+	if r.usesAgents() {
 		return r.set.Chooser.Usable(e)
 	}
-	return r.Directory().Has(e) && r.loads.quietLeft(time.Now(), e.ID) == 0
+	return r.Directory().Contains(e) && r.loads.backoffLeft(time.Now(), e.ID) == 0
 }
 
-// choose asks the chooser; without an endpoint the call is refused.
+// choose asks the Chooser for an endpoint, and refuses the call if there is none.
 func (r *Router) choose(ctx context.Context, c *Call, role Role, tried map[string]bool) (*Endpoint, error) {
 	e, err := r.set.Chooser.Choose(ctx, c, role, tried)
 	if err != nil {
-		return nil, errNoEndpoint.Wrap(err, "choose for %s", c.Service.Name)
+		return nil, errNoEndpoint.Wrap(err, "choose an endpoint of %s", c.Service.Name)
 	}
 	return e, nil
 }
 
-// queue gets memory at a gate, waiting there if need be, and then chooses
-// where the prompt is computed.
+// reserveAtAgent reserves memory at a decode endpoint, queueing at its agent if
+// necessary, and then chooses the prefill endpoint.
 //
-// Memory comes first because a prefill result lives less than a second:
-// without a place to go it would be wasted.
-func (g *generationRun) queue(ctx context.Context) (admission, error) {
+// Memory is reserved first because a prefill result lives less than a second, and would
+// be wasted without a decode endpoint for it.
+func (g *generationRun) reserveAtAgent(ctx context.Context) (admission, error) {
 	r, c := g.r, g.c
 	e, err := r.choose(ctx, c, Decode, g.tried)
 	if err != nil {
@@ -72,7 +71,7 @@
 	g.tried[e.ID] = true
 	began := time.Now()
 	a := admission{placement: placement{decode: e}, work: r.loads.Begin(e.ID, Load{Decodes: 1})}
-	a.reservation, err = r.endpoints.Reserve(ctx, e, c, Ask{Tokens: c.need()})
+	a.reservation, err = r.endpoints.Reserve(ctx, e, c, Ask{Tokens: c.initialTokens()})
 	if err != nil {
 		a.work.End()
 		return admission{}, err
@@ -92,10 +91,10 @@
 	return a, nil
 }
 
-// lossAllowed decides whether a lost attempt may be followed by another one
-// behind gates. One that brought events is followed freely, because each
-// continuation then makes progress; others draw on the budget.
-func (g *generationRun) lossAllowed(err error) bool {
+// mayRetryLoss decides whether a lost attempt may be followed by another one in fleets
+// with agents. An attempt that delivered events may always be, because each continuation
+// makes progress. Others are charged to the retry budget.
+func (g *generationRun) mayRetryLoss(err error) bool {
 	if g.progress {
 		return true
 	}
@@ -106,17 +105,17 @@
 	return g.r.budget(g.c.Service.Name).Retry(time.Now())
 }
 
-// againGated reports whether one more attempt at a plain call is safe and
-// worth it behind gates. What did not run cost the endpoint next to nothing.
-func (p *plainRun) againGated(ctx context.Context, err error) bool {
+// mayRetryAtAgent reports whether another attempt at a plain call is safe and worthwhile
+// in fleets with agents. Attempts that did not run cost the endpoint next to nothing.
+func (p *plainRun) mayRetryAtAgent(ctx context.Context, err error) bool {
 	switch {
 	case ctx.Err() != nil || errorx.IsOfType(err, ErrWaited):
 		return false
 	case err == nil || !errorx.IsOfType(err, ErrNotRun):
 		return p.r.budget(p.c.Service.Name).Retry(time.Now())
 	case p.c.Keyed:
-		soon := time.Since(p.c.Began) < min(ownerWait, p.c.MaxWait)
-		return soon && ebonypulley.Sleep(ctx, ownerPause)
+		soon := time.Since(p.c.Began) < min(keyOwnerTimeout, p.c.MaxWait)
+		return soon && ebonypulley.Sleep(ctx, keyOwnerPollInterval)
 	default:
 		return p.sent < maxRefusals
 	}
--- a/router/generate.go
+++ b/router/generate.go
@@ -13,64 +13,64 @@
 )
 
 const (
-	// maxRefusals is how many endpoints may refuse one generation.
+	// maxRefusals is the number of endpoints that may refuse one generation.
 	maxRefusals = 3
-	// maxEngines is how many engines without a connection one generation
-	// meets before it is refused: each costs a round trip, and none gets a
-	// second generation of this process in the next half second.
-	maxEngines = 8
+	// maxUnreachableEngines is the number of unreachable engines after which a generation
+	// is refused. Each costs a round trip, and each is then avoided by this process for
+	// the next half second.
+	maxUnreachableEngines = 8
 )
 
-// generationRun is one generation, over as many attempts as are safe.
+// generationRun is the processing of one generation, over as many attempts as are safe.
 type generationRun struct {
 	r       *Router
 	c       *Call
 	sink    Sink
 	tried   map[string]bool
-	limited atLimit
-	// after is the number of the last event delivered, or that the caller
-	// came with.
-	after int64
-	// begun: the caller has the head; out hands it the events from then on.
-	begun bool
-	out   *delivery
+	limited limitedUntil
+	// lastEvent is the number of the last event delivered, or the last one that a resuming
+	// caller already has.
+	lastEvent int64
+	// begun says that the caller has received the head; delivery passes it the events from
+	// then on.
+	begun    bool
+	delivery *delivery
 	// runs counts the attempts that may have run.
 	runs     int
 	refusals int
-	// unreachable counts the endpoints that took no connection.
+	// unreachable counts the endpoints that accepted no connection.
 	unreachable int
-	// sent counts the arrivals at endpoints that the retry budget counts;
-	// prefilled says that a prefill was accepted, the first of which is free.
+	// sent counts the arrivals at endpoints that the retry budget counts. prefilled says
+	// that a prefill was accepted; the first accepted one is free.
 	sent      int
 	prefilled bool
-	// paid says that the budget was drawn on for the next arrival already.
-	paid bool
-	// kept is a result whose decode endpoint refused it.
+	// prepaid says that the budget was already charged for the next arrival.
+	prepaid bool
+	// kept is a prefill result that a decode endpoint refused.
 	kept *Result
-	// warm is the engine of an answer that broke off while the engine lived.
+	// warm is the engine whose stream broke off although the engine still runs.
 	warm *Endpoint
-	// progress: the last attempt brought events.
+	// progress says that the last attempt delivered events.
 	progress bool
 	// expiries counts the attempts that ended with ErrExpired.
-	expiries int
-	last     time.Time // when the last event was delivered
-	// first is the time to the first event, longest the longest pause between
-	// two.
-	first, longest time.Duration
-	// pause is the last one; disturbed says that its engine computed a prompt
-	// at the end of it.
-	pause     time.Duration
-	disturbed bool
-	// events counts those delivered.
+	expiries    int
+	lastEventAt time.Time // when the last event was delivered
+	// ttft is the time to the first event, longestGap the longest gap between two events.
+	ttft, longestGap time.Duration
+	// gap is the last gap between two events. interfered says that a prefill was in
+	// progress at the engine at the end of it.
+	gap        time.Duration
+	interfered bool
+	// events counts the delivered events.
 	events int
-	late   lateness
-	// failed is an endpoint's own failure, delivered if nothing better comes.
-	failed *Answer
+	policy admissionPolicy
+	// failedAnswer is an endpoint's own failure, delivered if no later attempt succeeds.
+	failedAnswer *Answer
 }
 
-// Generate serves a generation. It returns an answer only if an endpoint
-// reported a failure of its own, which is delivered in place of a stream; and
-// a failure if the generation was given up. Both nil: the sink has it whole.
+// Generate serves a generation. It returns an answer only if an endpoint reported a
+// failure of its own instead of a stream, and a failure if the generation was given up.
+// If both are nil, the sink has received the complete answer.
 func (r *Router) Generate(ctx context.Context, c *Call, sink Sink) (*Answer, *Failure) {
 	if f := r.charge(c); f != nil {
 		return nil, f
@@ -81,67 +81,67 @@
 }
 
 func (r *Router) generate(ctx context.Context, c *Call, sink Sink) (*Answer, *Failure) {
-	g := &generationRun{r: r, c: c, sink: sink, tried: make(map[string]bool), limited: make(atLimit), after: c.Resume}
-	g.late = g.lateness()
-	if !g.late.again && !g.late.begun {
-		r.loads.Arrived(c.Began, c.Service, c) // those that come back came before
+	g := &generationRun{r: r, c: c, sink: sink, tried: make(map[string]bool), limited: make(limitedUntil), lastEvent: c.Resume}
+	g.policy = g.newAdmissionPolicy()
+	if !g.policy.retried && !g.policy.begun {
+		r.loads.RecordArrival(c.Began, c.Service, c) // retries were counted at their first attempt
 	}
 	r.budget(c.Service.Name).First(c.Began)
 	defer g.dropKept()
 	if c.Resume != NoNumber {
-		g.warm = r.holder(ctx, c)
+		g.warm = r.cachingEngine(ctx, c)
 	}
 	for {
-		before := g.after
+		before := g.lastEvent
 		err := g.attempt(ctx)
 		if err == nil {
-			err = g.delivered()
+			err = g.flush()
 		}
 		if err == nil {
-			g.answered()
+			g.recordAnswered()
 			return nil, nil
 		}
-		g.progress = g.after != before
-		if !g.again(ctx, err) {
-			_ = g.delivered() // what broke the answer says why it ends
-			return g.end(ctx, err)
+		g.progress = g.lastEvent != before
+		if !g.mayRetry(ctx, err) {
+			_ = g.flush() // the error that ends the answer is already known
+			return g.finish(ctx, err)
 		}
 		r.metrics.Add("generation_attempts_again", 1)
-		if lost(err) {
+		if wasLost(err) {
 			r.metrics.Add("continued", 1)
 		}
-		r.log.Emit(event.GenerationAgain, zap.String("request", c.ID), c.ContentField(), zap.Bool("begun", g.begun), zap.Int64("after", g.after),
+		r.log.Emit(event.GenerationAgain, zap.String("request", c.ID), c.ContentField(), zap.Bool("begun", g.begun), zap.Int64("after", g.lastEvent),
 			zap.Int("runs", g.runs), zap.Int("refusals", g.refusals), event.Err(err))
 	}
 }
 
-// delivered waits until the caller has what came so far.
-func (g *generationRun) delivered() error {
-	if g.out == nil {
+// flush waits until the caller has received all events so far.
+func (g *generationRun) flush() error {
+	if g.delivery == nil {
 		return nil
 	}
-	return g.out.finish()
+	return g.delivery.finish()
 }
 
-// answered records a generation that the caller has whole.
-func (g *generationRun) answered() {
+// recordAnswered records a complete answer.
+func (g *generationRun) recordAnswered() {
 	g.r.crashes.Served(time.Now(), g.c.Content)
 	took := time.Since(g.c.Began)
 	g.r.metrics.Histogram("whole." + g.c.class()).Record(took)
 	if g.runs == 1 && g.c.Resume == NoNumber && g.events > 1 {
-		tokens, life := g.events*g.c.stride(), took-g.first
+		tokens, life := g.events*g.c.stride(), took-g.ttft
 		g.r.loads.Learn(g.c.Service, func(m *estimate.Engines) { m.Ended(tokens, life) })
 	}
 	g.r.log.Emit(event.RequestAnswered, zap.String("request", g.c.ID), zap.String("route", g.c.Route.Name), zap.Duration("took", took),
-		zap.Duration("first", g.first), zap.Duration("longest_pause", g.longest), zap.Int("runs", g.runs))
+		zap.Duration("first", g.ttft), zap.Duration("longest_pause", g.longestGap), zap.Int("runs", g.runs))
 }
 
-// errFailed is returned by an attempt whose endpoint reported a failure.
+// errFailed is returned by an attempt whose endpoint reported a failure of its own.
 var errFailed = routerErrors.NewType("failed")
 
-func (g *generationRun) end(ctx context.Context, err error) (*Answer, *Failure) {
-	if g.failed != nil && !g.begun {
-		return g.failed, nil
+func (g *generationRun) finish(ctx context.Context, err error) (*Answer, *Failure) {
+	if g.failedAnswer != nil && !g.begun {
+		return g.failedAnswer, nil
 	}
 	f := &Failure{Cause: err, Why: Unknown}
 	switch {
@@ -149,15 +149,15 @@
 		f.Why = CallerGone
 	case g.runs == 0:
 		f.Why = NotRun
-		f.Retry = advice(err, g.retry())
+		f.Retry = retryAdvice(err, g.retryDelay())
 	case g.c.Left(time.Now()) <= 0:
 		f.Why = TimedOut
 	}
 	return nil, f
 }
 
-// again decides about another attempt after err.
-func (g *generationRun) again(ctx context.Context, err error) bool {
+// mayRetry decides whether another attempt may follow one that ended with err.
+func (g *generationRun) mayRetry(ctx context.Context, err error) bool {
 	now := time.Now()
 	if ctx.Err() != nil || g.c.Left(now) <= 0 || errorx.IsOfType(err, ErrCaller) ||
 		errorx.IsOfType(err, errPoison) || errorx.IsOfType(err, errNoEndpoint) || errorx.IsOfType(err, errBudget) || errorx.IsOfType(err, ErrWaited) {
@@ -168,135 +168,133 @@
 	}
 	if errorx.IsOfType(err, ErrUnreachable) {
 		g.unreachable++
-		return g.unreachable < maxEngines
+		return g.unreachable < maxUnreachableEngines
 	}
 	notRun := errorx.IsOfType(err, ErrNotRun)
 	if notRun {
 		g.refusals++
 	}
-	if g.refusals >= maxRefusals || !notRun && !g.mayRun() {
+	if g.refusals >= maxRefusals || !notRun && !g.mayRunAgain() {
 		return false
 	}
-	return !lost(err) || !g.r.gated() || g.lossAllowed(err)
+	return !wasLost(err) || !g.r.usesAgents() || g.mayRetryLoss(err)
 }
 
-// lost reports whether an attempt was lost, not refused: its run, or its
-// prefill.
-func lost(err error) bool {
+// wasLost reports whether an attempt or its prefill was lost, rather than refused.
+func wasLost(err error) bool {
 	return !errorx.IsOfType(err, ErrNotRun) || errorx.IsOfType(err, errPrefillLost)
 }
 
-// mayRun reports whether the generation may run once more.
-func (g *generationRun) mayRun() bool {
-	most := g.c.Route.MaxAttempts
-	return g.c.Route.Resumable && (most == 0 || g.runs < most)
+// mayRunAgain reports whether the generation may run once more.
+func (g *generationRun) mayRunAgain() bool {
+	maxAttempts := g.c.Route.MaxAttempts
+	return g.c.Route.Resumable && (maxAttempts == 0 || g.runs < maxAttempts)
 }
 
 // errBudget is returned when the retry budget allows no further arrival.
 var errBudget = ErrNotRun.NewSubtype("budget")
 
-// spend draws on the retry budget for an arrival beyond the first. Each arrival
-// counts, also one that is refused, but for the first prefill that an endpoint
-// accepts; behind gates only losses count, see lossAllowed. The caller must tell
-// arrived or computed how it ended.
+// chargeArrival charges the retry budget for an arrival at an endpoint beyond the first.
+// Each arrival counts, even one that is refused, except the first prefill that an
+// endpoint accepts. With agents only losses count, see mayRetryLoss. The caller must
+// report the result to refundUnreached or prefillAccepted.
 //
-// A prefill that is lost or refused is followed by
-// another endpoint, which counts as a second arrival. It shows, when many are
-// lost, as more arrivals than the platform allows. The guard holds because what
-// is free is only known, and only given back, when it was accepted.
-func (g *generationRun) spend() error {
+// A prefill that is lost or refused is followed by an arrival at another endpoint, which
+// counts as a second one. The charge is therefore made in advance and refunded only once
+// the prefill is accepted; otherwise, when many prefills are lost, endpoints would get
+// more arrivals than the budget allows.
+func (g *generationRun) chargeArrival() error {
 	if err := g.r.refusePoison(g.c); err != nil {
 		return err
 	}
-	if g.sent > 0 && !g.pay() {
-		return errBudget.New("the retry budget is used up")
+	if g.sent > 0 && !g.payArrival() {
+		return errBudget.New("the retry budget is exhausted")
 	}
 	g.sent++
 	return nil
 }
 
-// pay pays for one arrival beyond the first, with what was paid ahead if there is
-// anything.
-func (g *generationRun) pay() bool {
+// payArrival pays for one arrival beyond the first, from the prepaid charge if there is
+// one.
+func (g *generationRun) payArrival() bool {
 	switch {
-	case g.r.gated():
+	case g.r.usesAgents():
 		return true
-	case g.paid:
-		g.paid = false
+	case g.prepaid:
+		g.prepaid = false
 		return true
 	}
 	return g.r.budget(g.c.Service.Name).Retry(time.Now())
 }
 
-// payAhead pays for the decode endpoint's arrival before a prompt is computed for
-// it, if that arrival will not be the first. What is not used in the end is lost:
-// given back late it would count in another window.
+// prepayDecode charges the budget for the decode endpoint's arrival before its prompt is
+// prefilled, unless that arrival will be the first. An unused charge is not refunded,
+// because a late refund would count in another window.
 //
-// Many answers are lost, so that the retry budget is used
-// up all the time. A prompt that is computed again and then has no arrival left is
-// computed in vain, and its caller is refused all the same.
-func (g *generationRun) payAhead() bool {
-	if g.r.gated() || !g.prefilled {
-		return true // the first accepted prefill is free and gives back what it drew
+// While many answers are lost, the retry budget is exhausted all the time. A prompt
+// prefilled once more without a charge left for its decode would be wasted, and its
+// caller refused all the same.
+func (g *generationRun) prepayDecode() bool {
+	if g.r.usesAgents() || !g.prefilled {
+		return true // the first accepted prefill is free, and its refund pays for this arrival
 	}
-	g.paid = g.paid || g.r.budget(g.c.Service.Name).Retry(time.Now())
-	return g.paid
+	g.prepaid = g.prepaid || g.r.budget(g.c.Service.Name).Retry(time.Now())
+	return g.prepaid
 }
 
-// arrived takes back what spend drew for an endpoint that took no connection.
+// refundUnreached refunds the charge for an endpoint that accepted no connection.
 //
-// A third of the engines crash in the same second and
-// stay published for seconds. Each entry meets each of them; counted as
-// arrivals, these would use up the retry budget at once, and drafts whose
-// prompts are computed already would be refused.
-func (g *generationRun) arrived(err error) {
+// When a third of the engines crash in the same second they stay published for seconds,
+// and each entry tries each of them. Counted as arrivals, these attempts would exhaust
+// the retry budget at once, and generations already prefilled would be refused.
+func (g *generationRun) refundUnreached(err error) {
 	if errorx.IsOfType(err, ErrUnreachable) {
-		g.giveBack()
+		g.refundArrival()
 	}
 }
 
-// computed notes an accepted prefill, the first of which is free.
-func (g *generationRun) computed() {
+// prefillAccepted records an accepted prefill. The first one is free.
+func (g *generationRun) prefillAccepted() {
 	if !g.prefilled {
 		g.prefilled = true
-		g.giveBack()
+		g.refundArrival()
 	}
 }
 
-func (g *generationRun) giveBack() {
+func (g *generationRun) refundArrival() {
 	g.sent--
-	if g.sent > 0 && !g.r.gated() {
+	if g.sent > 0 && !g.r.usesAgents() {
 		g.r.budget(g.c.Service.Name).Give(time.Now())
 	}
 }
 
-// attempt makes one try: choose, reserve, prefill, decode.
+// attempt makes one attempt: place, reserve, prefill, decode.
 func (g *generationRun) attempt(ctx context.Context) error {
 	if err := g.r.refusePoison(g.c); err != nil {
-		return err // before it waits for room
+		return err // refuse it before it waits for room
 	}
 	a, err := g.admit(ctx)
 	if err != nil {
 		return err
 	}
-	defer a.end()
-	start := Start{After: g.after, Reservation: a.reservation}
+	defer a.release()
+	start := Start{After: g.lastEvent, Reservation: a.reservation}
 	start.Result, err = g.result(ctx, a)
 	if err != nil {
 		g.release(start.Reservation)
 		return err
 	}
-	before := g.after
+	before := g.lastEvent
 	err = g.decode(ctx, a, start)
 	if err != nil && errorx.IsOfType(err, ErrNotRun) {
 		g.release(start.Reservation)
 		g.kept = start.Result
 	}
-	if err != nil && start.Result != nil && g.kept == nil && g.after == before {
-		g.wasted(start.Result)
+	if err != nil && start.Result != nil && g.kept == nil && g.lastEvent == before {
+		g.recordWasted(start.Result)
 	}
 	if start.Result != nil && ctx.Err() != nil {
-		// The caller left; a result that was taken is not there any more.
+		// The caller left. If the result was taken already, Drop has no effect.
 		g.r.endpoints.Drop(start.Result)
 		g.kept = nil
 	}
--- a/router/generate_test.go
+++ b/router/generate_test.go
@@ -24,24 +24,24 @@
 	return n
 }
 
-var whole = []int64{1, 2, 3, 4, 5, 6}
+var allEvents = []int64{1, 2, 3, 4, 5, 6}
 
-// TestResetAnswerGoesOn: a draft is late and its prompt is computed twice. The
-// connection to the engine was reset in the middle of the answer; the engine
-// lives and caches the prompt, so the rest comes from there.
-func TestResetAnswerGoesOn(t *testing.T) {
+// TestResetStreamResumes: when the connection to a live engine is reset in the middle of
+// an answer, the rest must come from the same engine, which caches the prompt. Resuming
+// elsewhere makes the answer late and prefills the prompt once more.
+func TestResetStreamResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{breakAt: []int64{3}}
 		r := newRouter(f, engine("p", router.Prefill), engine("d1", router.Decode), engine("d2", router.Decode))
 		s := new(fakeSink)
-		a, fail := r.Generate(t.Context(), newCall(draftRoute, llm), s)
+		a, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), s)
 		assert.Nil(t, a)
 		assert.Nil(t, fail)
-		assert.Equal(t, whole, s.got)
+		assert.Equal(t, allEvents, s.got)
 		assert.Equal(t, 1, s.heads)
-		assert.LessOrEqual(t, count(f.notes(), "prefill"), 1)
+		assert.LessOrEqual(t, count(f.recorded(), "prefill"), 1)
 		var engines []string
-		for _, n := range f.notes() {
+		for _, n := range f.recorded() {
 			if strings.HasPrefix(n, "generate") {
 				engines = append(engines, strings.Fields(n)[1])
 			}
@@ -51,40 +51,38 @@
 	})
 }
 
-// TestLetterIsNotRepeated: pieces of two runs are joined. A letter's route
-// does not allow to go on elsewhere, so that it ends visibly broken.
-func TestLetterIsNotRepeated(t *testing.T) {
+// TestNonResumableIsNotRepeated guards against joining parts of two runs. A generation on
+// a route that is not resumable must end visibly truncated.
+func TestNonResumableIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{breakAt: []int64{3}}
 		r := newRouter(f, engine("d1", router.Decode), engine("d2", router.Decode))
 		s := new(fakeSink)
-		_, fail := r.Generate(t.Context(), newCall(letterRoute, llm), s)
+		_, fail := r.Generate(t.Context(), newCall(nonResumableRoute, llm), s)
 		require.NotNil(t, fail)
 		assert.Equal(t, router.Unknown, fail.Why)
 		assert.Equal(t, []int64{1, 2, 3}, s.got)
-		assert.Equal(t, 1, count(f.notes(), "generate"))
+		assert.Equal(t, 1, count(f.recorded(), "generate"))
 	})
 }
 
-// TestSilentEngine: a caller waits for ever. The engine stops sending in the
-// middle of an answer without a reset; the answer goes on elsewhere before the
-// caller gives up.
+// TestSilentEngine: when an engine stops sending in the middle of an answer without a
+// reset, another attempt must follow before the caller leaves.
 func TestSilentEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{pause: time.Hour, events: 6}
 		r := newRouter(f, engine("d1", router.Decode), engine("d2", router.Decode))
 		s := new(fakeSink)
 		began := time.Now()
-		_, fail := r.Generate(t.Context(), newCall(draftRoute, llm), s)
+		_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), s)
 		require.NotNil(t, fail)
-		assert.Equal(t, 2, count(f.notes(), "generate"))
+		assert.Equal(t, 2, count(f.recorded(), "generate"))
 		assert.Less(t, time.Since(began), 4*time.Second)
 	})
 }
 
-// TestSilentPrefill: drafts begin too late. A prefill engine computed the
-// prompt and its answer was lost; another one is asked while the draft can
-// still be on time.
+// TestSilentPrefill: when the answer of a prefill engine is lost, another one must be
+// tried while the first event can still be on time.
 func TestSilentPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{}
@@ -98,21 +96,21 @@
 			return nil
 		}
 		r := newRouter(f, engine("p1", router.Prefill), engine("p2", router.Prefill), engine("d", router.Decode))
-		teach(r, 1)
+		trainEstimates(r, 1)
 		s := new(fakeSink)
 		r.Loads().Begin("d", router.Load{Prefill: 20000})
-		c := newCall(draftRoute, llm)
+		c := newCall(resumableRoute, llm)
 		_, fail := r.Generate(t.Context(), c, s)
 		assert.Nil(t, fail)
-		assert.Equal(t, whole, s.got)
-		assert.Equal(t, 2, count(f.notes(), "prefill"))
+		assert.Equal(t, allEvents, s.got)
+		assert.Equal(t, 2, count(f.recorded(), "prefill"))
 		assert.Less(t, s.first.Sub(c.Began), 950*time.Millisecond)
 	})
 }
 
-// TestRefusedResultIsKept: a decode engine refuses a prompt that was computed
-// for it; the result goes to another engine while it lives.
-func TestRefusedResultIsKept(t *testing.T) {
+// TestRefusedResultIsReused: when a decode engine refuses a prefilled prompt, the result
+// must go to another engine while it is valid.
+func TestRefusedResultIsReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{}
 		refused := ""
@@ -123,26 +121,25 @@
 			}
 			return nil
 		}
-		// Decode engines are far busier than the prefill engine, so that the
-		// prompt is computed apart.
+		// The decode engines are far busier than the prefill engine, so that the prompt is
+		// prefilled remotely.
 		r := newRouter(f, engine("p", router.Prefill), engine("d1", router.Decode), engine("d2", router.Decode))
 		for _, id := range []string{"d1", "d2"} {
 			r.Loads().Begin(id, router.Load{Prefill: 20000})
 		}
 		s := new(fakeSink)
-		_, fail := r.Generate(t.Context(), newCall(draftRoute, llm), s)
+		_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), s)
 		assert.Nil(t, fail)
-		assert.Equal(t, whole, s.got)
-		assert.Equal(t, 1, count(f.notes(), "prefill"))
-		assert.Equal(t, 2, count(f.notes(), "generate"))
-		assert.Zero(t, count(f.notes(), "drop"))
+		assert.Equal(t, allEvents, s.got)
+		assert.Equal(t, 1, count(f.recorded(), "prefill"))
+		assert.Equal(t, 2, count(f.recorded(), "generate"))
+		assert.Zero(t, count(f.recorded(), "drop"))
 	})
 }
 
-// TestBurst: for a second four times as many drafts come as engines have
-// memory for. Those that can't be on time are refused at once, as not run,
-// with a time to come back after the burst; nothing is computed in vain; and
-// those that come back are served.
+// TestBurst: for a second, four times as many generations arrive as fit into the engines'
+// memory. Those that cannot be on time must be refused at once as not run, with a retry
+// time after the burst. No prefill may be wasted, and the retries must be served.
 func TestBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{pause: 50 * time.Millisecond, events: 60}
@@ -153,13 +150,13 @@
 		for range 80 {
 			wg.Go(func() {
 				s := new(fakeSink)
-				c := newCall(draftRoute, llm)
+				c := newCall(resumableRoute, llm)
 				_, fail := r.Generate(t.Context(), c, s)
 				if fail != nil {
 					assert.Equal(t, router.NotRun, fail.Why)
 					assert.Less(t, time.Since(c.Began), 900*time.Millisecond)
 					time.Sleep(fail.Retry)
-					again := newCall(draftRoute, llm)
+					again := newCall(resumableRoute, llm)
 					again.Wait -= time.Since(c.Began)
 					s = new(fakeSink)
 					_, fail = r.Generate(t.Context(), again, s)
@@ -172,44 +169,43 @@
 				if fail == nil {
 					served++
 				}
-				if fail == nil && s.first.Sub(c.Began) < draftRoute.Target {
+				if fail == nil && s.first.Sub(c.Began) < resumableRoute.Target {
 					onTime++
 				}
 			})
 			time.Sleep(12 * time.Millisecond)
 		}
 		wg.Wait()
-		assert.GreaterOrEqual(t, onTime, 15, "the memory goes to those on time")
+		assert.GreaterOrEqual(t, onTime, 15, "memory goes to generations on time")
 		assert.GreaterOrEqual(t, served, 40)
 		assert.Greater(t, refused, 20)
-		assert.Zero(t, count(f.notes(), "drop"), "no prompt is computed in vain")
+		assert.Zero(t, count(f.recorded(), "drop"), "no prefill is wasted")
 	})
 }
 
-// TestOthersWorkCounts: two entries fill the same engine and prompts are
-// computed in vain. What the other entry said of its work fills an engine
-// like one's own.
-func TestOthersWorkCounts(t *testing.T) {
+// TestPeerLoadCounts: work reported by another entry must fill an engine like the entry's
+// own. Otherwise two entries overload the same engine and waste prefills.
+func TestPeerLoadCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{}
 		r := newRouter(f, engine("d1", router.Decode), engine("d2", router.Decode))
 		r.Loads().Hear(time.Now(), "other", map[string]router.Load{"d1": {Decodes: 10, KV: 56000}}, nil)
 		for range 5 {
-			_, fail := r.Generate(t.Context(), newCall(draftRoute, llm), new(fakeSink))
+			_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), new(fakeSink))
 			assert.Nil(t, fail)
 			r.Loads().Hear(time.Now(), "other", map[string]router.Load{"d1": {Decodes: 10, KV: 56000}}, nil)
 		}
-		assert.Zero(t, count(f.notes(), "generate d1"))
+		assert.Zero(t, count(f.recorded(), "generate d1"))
 		time.Sleep(3 * time.Second)
 		r.Loads().Begin("d2", router.Load{Decodes: 10, KV: 56000})
-		_, fail := r.Generate(t.Context(), newCall(draftRoute, llm), new(fakeSink))
-		assert.Nil(t, fail, "an entry that is not heard any more does not count")
+		_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), new(fakeSink))
+		assert.Nil(t, fail, "an expired report does not count")
 	})
 }
 
-// TestResumedCallers: entries were killed and forty callers ask for the rest
-// of their answers, at an entry that knows nothing. It asks each engine once
-// what it caches and sends each caller to the right one without a prefill.
+// TestResumedCallers: entries were killed and the callers resume their answers at an
+// entry without state. It must ask each engine once for its cached prompts, and send each
+// caller to the right one without a prefill.
 func TestResumedCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{cached: map[string]string{"s1": "d2"}}
@@ -217,7 +213,7 @@
 		var wg sync.WaitGroup
 		for range 8 {
 			wg.Go(func() {
-				c := newCall(draftRoute, llm)
+				c := newCall(resumableRoute, llm)
 				c.Resume = 2
 				s := new(fakeSink)
 				_, fail := r.Generate(t.Context(), c, s)
@@ -226,15 +222,14 @@
 			})
 		}
 		wg.Wait()
-		assert.Equal(t, 2, count(f.notes(), "cached"))
-		assert.Equal(t, 8, count(f.notes(), "generate d2"))
-		assert.Zero(t, count(f.notes(), "prefill"))
+		assert.Equal(t, 2, count(f.recorded(), "cached"))
+		assert.Equal(t, 8, count(f.recorded(), "generate d2"))
+		assert.Zero(t, count(f.recorded(), "prefill"))
 	})
 }
 
-// TestCallerGoneDuringPrefill: an engine's memory is held for nobody. The
-// caller left while its prompt was computed; the reservation is released and
-// nothing is generated.
+// TestCallerGoneDuringPrefill: when a caller disconnects during its prefill, the
+// reservation must be released and nothing generated.
 func TestCallerGoneDuringPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{}
@@ -242,18 +237,18 @@
 		r.Loads().Begin("d", router.Load{Decodes: 7, KV: 40000, Prefill: 20000})
 		ctx, cancel := contextWithCancel(t)
 		time.AfterFunc(30*time.Millisecond, cancel)
-		_, fail := r.Generate(ctx, newCall(draftRoute, llm), new(fakeSink))
+		_, fail := r.Generate(ctx, newCall(resumableRoute, llm), new(fakeSink))
 		require.NotNil(t, fail)
 		assert.Equal(t, router.CallerGone, fail.Why)
-		assert.Equal(t, 1, count(f.notes(), "reserve"))
-		assert.Equal(t, 1, count(f.notes(), "release"))
-		assert.Zero(t, count(f.notes(), "generate"))
+		assert.Equal(t, 1, count(f.recorded(), "reserve"))
+		assert.Equal(t, 1, count(f.recorded(), "release"))
+		assert.Zero(t, count(f.recorded(), "generate"))
 	})
 }
 
-// TestLeavingDuringPrefill: a draft starts at an engine that has left. The
-// engine began to drain while the prompt was computed for it.
-func TestLeavingDuringPrefill(t *testing.T) {
+// TestEngineLeavesDuringPrefill: when the decode engine starts to drain during the
+// prefill, the generation must start at another one.
+func TestEngineLeavesDuringPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{}
 		p, d1, d2 := engine("p", router.Prefill), engine("d1", router.Decode), engine("d2", router.Decode)
@@ -267,16 +262,16 @@
 			return nil
 		}
 		s := new(fakeSink)
-		_, fail := r.Generate(t.Context(), newCall(draftRoute, llm), s)
+		_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), s)
 		assert.Nil(t, fail)
-		assert.Equal(t, whole, s.got)
-		assert.Zero(t, count(f.notes(), "generate d1"))
+		assert.Equal(t, allEvents, s.got)
+		assert.Zero(t, count(f.recorded(), "generate d1"))
 	})
 }
 
-// TestRefusedReservation: a draft is refused although an engine has room. What
-// an engine was thought to have free was not; asking others is no attempt and
-// costs nothing of the retry budget.
+// TestRefusedReservation: an engine has less free memory than estimated and refuses a
+// reservation. Trying others must not count as an attempt, nor be charged to the retry
+// budget; otherwise requests are refused although another engine has room.
 func TestRefusedReservation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{reserve: func(e *router.Endpoint) error {
@@ -296,36 +291,35 @@
 			r.Loads().Begin(id, router.Load{Decodes: 5 + i, KV: 36000})
 		}
 		s := new(fakeSink)
-		_, fail := r.Generate(t.Context(), newCall(draftRoute, llm), s)
+		_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), s)
 		assert.Nil(t, fail)
-		assert.Equal(t, whole, s.got)
-		assert.Equal(t, 1, count(f.notes(), "generate d5"))
+		assert.Equal(t, allEvents, s.got)
+		assert.Equal(t, 1, count(f.recorded(), "generate d5"))
 	})
 }
 
-// TestWarmEngineIsNotReserved: the rest of an answer is computed anew although
-// its engine had the prompt. What was reserved for it there pushed the cached
-// prompt out.
+// TestWarmEngineIsNotReserved: resuming at an engine that caches the prompt must not
+// reserve memory there, because the reservation can evict the prompt, which is then
+// prefilled once more.
 func TestWarmEngineIsNotReserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{cached: map[string]string{"s1": "d2"}}
 		r := newRouter(f, engine("d1", router.Decode), engine("d2", router.Decode))
 		r.Loads().Begin("d2", router.Load{Decodes: 7, KV: 40000})
-		c := newCall(draftRoute, llm)
+		c := newCall(resumableRoute, llm)
 		c.Resume = 2
 		_, fail := r.Generate(t.Context(), c, new(fakeSink))
 		assert.Nil(t, fail)
-		assert.Equal(t, 1, count(f.notes(), "generate d2"))
-		assert.Zero(t, count(f.notes(), "reserve"))
+		assert.Equal(t, 1, count(f.recorded(), "generate d2"))
+		assert.Zero(t, count(f.recorded(), "reserve"))
 	})
 }
 
-// TestUnreachableIsNoArrival: drafts are refused and their prompts computed in
-// vain while half of the engines serve. The other half crashed in the same
-// second and is still published; each takes no connection, so that nothing
-// arrives there, nothing is drawn from the retry budget, and the draft goes on
-// until it meets one that lives.
-func TestUnreachableIsNoArrival(t *testing.T) {
+// TestUnreachableCostsNoBudget: half of the engines crashed in the same second and are
+// still published. As they accept no connection, nothing arrives there; attempts must not
+// be charged to the retry budget, and must continue until one reaches a live engine.
+// Otherwise generations are refused and their prefills wasted.
+func TestUnreachableCostsNoBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		crashed := map[string]bool{"p1": true, "d1": true, "d2": true, "d3": true, "d4": true}
 		down := func(e *router.Endpoint) error {
@@ -342,19 +336,18 @@
 			engine("d2", router.Decode), engine("d3", router.Decode), engine("d4", router.Decode), engine("d5", router.Decode))
 		r.SetBudget(0, 10*time.Second, 0)
 		for range 10 {
-			_, fail := r.Generate(t.Context(), newCall(draftRoute, llm), new(fakeSink))
+			_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), new(fakeSink))
 			assert.Nil(t, fail)
 		}
-		assert.Zero(t, count(f.notes(), "drop"), "no prompt is computed in vain")
+		assert.Zero(t, count(f.recorded(), "drop"), "no prefill is wasted")
 	})
 }
 
-// TestSilentLetterIsAwaited: a letter is cut in the middle although its engine
-// would have gone on. It was preempted and paused for two seconds; a letter
-// can't go on elsewhere, so that ending it gains nothing. Neither can the last
-// attempt of a draft.
-func TestSilentLetterIsAwaited(t *testing.T) {
-	for _, route := range []router.Route{letterRoute, draftRoute} {
+// TestLastAttemptIsNotCut: an engine preempts an answer for two seconds. If the
+// generation cannot continue elsewhere, because its route is not resumable or it is the
+// last attempt, ending it gains nothing and truncates the answer.
+func TestLastAttemptIsNotCut(t *testing.T) {
+	for _, route := range []router.Route{nonResumableRoute, resumableRoute} {
 		synctest.Test(t, func(t *testing.T) {
 			route.MaxAttempts = 1
 			f := &fakeEndpoints{longPause: 3500 * time.Millisecond}
@@ -362,7 +355,7 @@
 			s := new(fakeSink)
 			_, fail := r.Generate(t.Context(), newCall(route, llm), s)
 			assert.Nil(t, fail)
-			assert.Equal(t, whole, s.got)
+			assert.Equal(t, allEvents, s.got)
 		})
 	}
 }
--- a/router/health.go
+++ b/router/health.go
@@ -8,245 +8,251 @@
 )
 
 const (
-	// paceWeight is the part that the pause between two events takes; each
-	// stream brings some tens of them.
-	paceWeight = 0.05
-	// sampleWeight is the part that a new measurement takes.
+	// gapWeight is the weight of one gap between stream events in the moving average of
+	// StepSlowdown. It is low because each stream has some tens of them.
+	gapWeight = 0.05
+	// sampleWeight is the weight of a new measurement in other moving averages.
 	sampleWeight = 0.25
-	// failWeight is the part that one more success or failure takes: four
-	// failures in a row make 0.68.
-	failWeight = 0.25
-	// fadeTime is the time constant with which a bad record fades, so that an
-	// endpoint is tried again some seconds after its last failure.
-	fadeTime = 4 * time.Second
-	// avoidFirst and avoidMost bound how long an endpoint that did not answer
-	// is avoided; the time doubles with each silence in a row.
-	avoidFirst = 500 * time.Millisecond
-	avoidMost  = 4 * time.Second
-	// goneFor is how long an endpoint that is gone is avoided; a store that is
-	// away may list it for that long.
-	goneFor = 10 * time.Second
-	// failuresTold is how many of its last failures at an endpoint a process tells
-	// others: more do not change what these do.
-	failuresTold = 4
-	// avoidedTold bounds all that is told of bad endpoints: 1 kB of a report, so that
-	// an outage of all does not fill narrow links with what each finds out anyway.
-	avoidedTold = 32
-	// usualAttempts is the number of attempts that are assumed to have succeeded at
-	// an endpoint besides those that come: one lost answer says little.
-	usualAttempts = 2
+	// failureWeight is the weight of one attempt in the failure rate: four failures in a
+	// row give 0.68.
+	failureWeight = 0.25
+	// decayTime is the time constant with which the failure rate and the slowdown decay,
+	// so that an endpoint is tried again some seconds after its last failure.
+	decayTime = 4 * time.Second
+	// minAvoidTime and maxAvoidTime bound how long an unresponsive endpoint is avoided.
+	// The time doubles with each consecutive timeout.
+	minAvoidTime = 500 * time.Millisecond
+	maxAvoidTime = 4 * time.Second
+	// goneAvoidTime is how long an endpoint is avoided that no longer runs. During an
+	// outage of the store it may stay published that long.
+	goneAvoidTime = 10 * time.Second
+	// maxFailuresReported is how many recent failures per endpoint are reported to other
+	// entries. More would not change their decisions.
+	maxFailuresReported = 4
+	// maxAvoidedReported bounds the entries of one Avoided list to about 1 kB of a report.
+	// When all endpoints fail, each entry finds out by itself, and longer lists would
+	// saturate slow links between data centres.
+	maxAvoidedReported = 32
+	// priorAttempts is the number of assumed successful attempts per endpoint in the
+	// failure rate reported by others, so that a single failure has little weight.
+	priorAttempts = 2
 )
 
-// health is what recent attempts showed of one endpoint.
+// health is the record of recent attempts at one endpoint.
 type health struct {
-	fail       float64
-	slow       float64 // see View
-	pace       float64 // see View; does not fade: engines differ for good
-	silences   int
-	silentAt   time.Time // when it was last found silent or gone
-	avoidUntil time.Time
-	// heardUntil is avoidUntil as others say, goodAt the last success here.
-	heardUntil time.Time
-	goodAt     time.Time
-	fullUntil  time.Time
-	// quietUntil is when it takes work from this process again.
-	quietUntil time.Time
-	at         time.Time
-	// failedAt are the last failures, for others.
-	failedAt []time.Time
-}
-
-func (h *health) fade(now time.Time) {
-	keep := faded(now.Sub(h.at))
-	h.at = now
-	h.fail *= keep
-	h.slow = 1 + (h.slow-1)*keep
+	failureRate    float64
+	slowdown       float64 // see View
+	stepSlowdown   float64 // see View; does not decay, because engine speeds differ permanently
+	timeouts       int
+	unresponsiveAt time.Time // last time the endpoint was found unresponsive or gone
+	avoidUntil     time.Time
+	// peerAvoidUntil is the avoidUntil reported by other entries. succeededAt is the last
+	// success in this process.
+	peerAvoidUntil time.Time
+	succeededAt    time.Time
+	fullUntil      time.Time
+	// backoffUntil is when the endpoint accepts work from this process again.
+	backoffUntil time.Time
+	updatedAt    time.Time
+	// recentFailures holds the times of the last failures, to be reported to other
+	// entries.
+	recentFailures []time.Time
+}
+
+func (h *health) decay(now time.Time) {
+	keep := decayFactor(now.Sub(h.updatedAt))
+	h.updatedAt = now
+	h.failureRate *= keep
+	h.slowdown = 1 + (h.slowdown-1)*keep
 }
 
 func (l *Loads) healthOf(now time.Time, endpoint string) *health {
 	h := l.health[endpoint]
 	if h == nil {
-		h = &health{slow: 1, pace: 1, at: now}
+		h = &health{slowdown: 1, stepSlowdown: 1, updatedAt: now}
 		l.health[endpoint] = h
 	}
-	h.fade(now)
+	h.decay(now)
 	return h
 }
 
-// Succeeded records an attempt that the endpoint answered well.
-func (l *Loads) Succeeded(now time.Time, endpoint string) {
+// RecordSuccess records a successful attempt.
+func (l *Loads) RecordSuccess(now time.Time, endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.healthOf(now, endpoint)
-	h.fail *= 1 - failWeight
-	h.good(now)
+	h.failureRate *= 1 - failureWeight
+	h.recordSuccess(now)
 }
 
-// slower compares a time with what is usual.
-func (h *health) slower(took, usual float64) {
+// updateSlowdown compares a measured duration with the expected one.
+func (h *health) updateSlowdown(took, usual float64) {
 	if usual > 0 && took > 0 {
-		h.slow += (took/usual - h.slow) * sampleWeight
+		h.slowdown += (took/usual - h.slowdown) * sampleWeight
 	}
 }
 
-// Failed records an attempt that the endpoint answered with a failure, or a
-// part of whose answer was lost.
-func (l *Loads) Failed(now time.Time, endpoint string) {
+// RecordFailure records an attempt that the endpoint answered with a failure, or whose
+// answer was partly lost.
+func (l *Loads) RecordFailure(now time.Time, endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.healthOf(now, endpoint)
-	h.fail += (1 - h.fail) * failWeight
-	h.failedAt = append(h.failedAt, now)
-	h.failedAt = h.failedAt[max(len(h.failedAt)-failuresTold, 0):]
+	h.failureRate += (1 - h.failureRate) * failureWeight
+	h.recentFailures = append(h.recentFailures, now)
+	h.recentFailures = h.recentFailures[max(len(h.recentFailures)-maxFailuresReported, 0):]
 	l.dirty = true
 }
 
-// Silent records an attempt that got no answer or no connection: the endpoint
-// is avoided for a while.
+// RecordUnresponsive records an attempt that got no answer or no connection. The endpoint
+// is then avoided for a while.
 //
-// An endpoint crashes or hangs and stays published for
-// seconds. Without this each new request waits for it in turn.
-func (l *Loads) Silent(now time.Time, endpoint string) {
+// An endpoint that crashed or hangs stays published for seconds, and without this each
+// new request would time out on it in turn.
+func (l *Loads) RecordUnresponsive(now time.Time, endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.healthOf(now, endpoint)
-	h.fail += (1 - h.fail) * failWeight
-	pause := min(avoidFirst<<min(h.silences, 8), avoidMost)
-	h.silences++
-	l.avoid(now, h, pause)
+	h.failureRate += (1 - h.failureRate) * failureWeight
+	duration := min(minAvoidTime<<min(h.timeouts, 8), maxAvoidTime)
+	h.timeouts++
+	l.avoidFor(now, h, duration)
 }
 
-// Gone records that nothing listens at the endpoint's address, or another
-// endpoint does: it is avoided for as long as it may stay published.
-func (l *Loads) Gone(now time.Time, endpoint string) {
+// RecordGone records that nothing listens at the endpoint's address, or that another
+// endpoint does. It is avoided for as long as it may stay published.
+func (l *Loads) RecordGone(now time.Time, endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.healthOf(now, endpoint)
-	h.fail += (1 - h.fail) * failWeight
-	l.avoid(now, h, goneFor)
+	h.failureRate += (1 - h.failureRate) * failureWeight
+	l.avoidFor(now, h, goneAvoidTime)
 }
 
-// avoid notes own evidence; l.mu is held.
-func (l *Loads) avoid(now time.Time, h *health, pause time.Duration) {
-	h.silentAt = now
-	h.avoidUntil = now.Add(pause)
+// avoidFor records that this process itself found an endpoint unavailable; l.mu must be
+// held.
+func (l *Loads) avoidFor(now time.Time, h *health, duration time.Duration) {
+	h.unresponsiveAt = now
+	h.avoidUntil = now.Add(duration)
 	l.dirty = true
 }
 
-func (h *health) good(now time.Time) {
-	h.silences = 0
-	h.goodAt = now
+func (h *health) recordSuccess(now time.Time) {
+	h.timeouts = 0
+	h.succeededAt = now
 	h.avoidUntil = time.Time{}
-	h.heardUntil = time.Time{}
+	h.peerAvoidUntil = time.Time{}
 }
 
-// Avoided is an endpoint that a process found silent or gone, or an attempt that
-// failed there.
+// Avoided is a report about an endpoint that a process found unresponsive or gone, or
+// about one failed attempt there.
 type Avoided struct {
 	Endpoint string
-	// Age is how old that evidence is, Left how long the endpoint is avoided for
-	// it: zero for one that answers and failed an attempt.
+	// Age is the age of the observation. Left is how much longer the endpoint is avoided
+	// for it; zero for a failed attempt at an endpoint that responds.
 	Age, Left time.Duration
 }
 
-// Avoided returns the endpoints that this process itself found silent, gone or
-// failing, the newest evidence first; it hands on no hearsay, which could go round for
-// ever.
+// Avoided returns the endpoints that this process itself found unresponsive, gone or
+// failing, the newest observation first. It does not relay reports of others, which could
+// otherwise circulate for ever.
 func (l *Loads) Avoided(now time.Time) []Avoided {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []Avoided
 	for id, h := range l.health {
 		if left := h.avoidUntil.Sub(now); left > 0 {
-			list = append(list, Avoided{Endpoint: id, Age: now.Sub(h.silentAt), Left: left})
+			list = append(list, Avoided{Endpoint: id, Age: now.Sub(h.unresponsiveAt), Left: left})
 		}
-		h.failedAt = slices.DeleteFunc(h.failedAt, func(at time.Time) bool { return now.Sub(at) > fadeTime })
-		for _, at := range h.failedAt {
+		h.recentFailures = slices.DeleteFunc(h.recentFailures, func(at time.Time) bool { return now.Sub(at) > decayTime })
+		for _, at := range h.recentFailures {
 			list = append(list, Avoided{Endpoint: id, Age: now.Sub(at)})
 		}
 	}
 	slices.SortFunc(list, func(a, b Avoided) int { return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Endpoint, b.Endpoint)) })
-	return list[:min(len(list), avoidedTold)]
+	return list[:min(len(list), maxAvoidedReported)]
 }
 
-// HearAvoided takes all of another process's evidence, but none of silence that is
-// older than the last success here.
+// HearAvoided merges the reports of another process. It ignores reports of an
+// unresponsive endpoint that are older than the last success here.
 //
-// A third of the engines crash or go dark in the same
-// second and stay published for seconds, or a tenth of them fail each attempt while
-// they answer all questions well. Each entry would find out about each of them by
-// itself, at the cost of a generation that is late; of hundreds of entries each meets
-// an engine twice a minute, and forgets in between.
+// It covers two failures: a third of the engines crash in the same second and stay
+// published for seconds, or a tenth of them fail each attempt while they answer health
+// probes. Without reports each entry would discover each of these engines by itself, at
+// the cost of a late generation. With hundreds of entries, each meets a given engine only
+// twice a minute and its own record has decayed by then.
 func (l *Loads) HearAvoided(now time.Time, process string, list []Avoided) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	failures := make(map[string]float64)
 	for _, a := range list {
 		if a.Left <= 0 {
-			failures[a.Endpoint] += faded(a.Age)
+			failures[a.Endpoint] += decayFactor(a.Age)
 			continue
 		}
 		h := l.healthOf(now, a.Endpoint)
-		if now.Add(-a.Age).After(h.goodAt) {
-			h.heardUntil = now.Add(a.Left)
+		if now.Add(-a.Age).After(h.succeededAt) {
+			h.peerAvoidUntil = now.Add(a.Left)
 		}
 	}
-	l.others.hearFailures(process, failures)
+	l.peers.setFailures(process, failures)
 }
 
-// faded is what is left of evidence of an age.
-func faded(age time.Duration) float64 { return math.Exp(-float64(age) / float64(fadeTime)) }
+// decayFactor returns the remaining weight of an observation of this age.
+func decayFactor(age time.Duration) float64 { return math.Exp(-float64(age) / float64(decayTime)) }
 
-// attemptsEach is how many attempts lately came to each of so many endpoints that
-// share a service's.
-func (l *Loads) attemptsEach(now time.Time, service string, endpoints int) float64 {
+// attemptsPerEndpoint estimates the recent attempts at each of the service's endpoints,
+// given their number.
+func (l *Loads) attemptsPerEndpoint(now time.Time, service string, endpoints int) float64 {
 	d, _ := l.demand(now, service)
-	return d.Calls * fadeTime.Seconds() / float64(max(endpoints, 1))
+	return d.Calls * decayTime.Seconds() / float64(max(endpoints, 1))
 }
 
-// failShare is the share of attempts that fail at an endpoint by what others tell of
-// it, when so many came there.
-func (l *Loads) failShare(now time.Time, endpoint string, attempts float64) float64 {
+// peerFailureRate returns the failure rate at an endpoint according to the other entries,
+// given an estimate of the attempts there.
+func (l *Loads) peerFailureRate(now time.Time, endpoint string, attempts float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	failures := l.others.failed(now, endpoint)
-	return failures / (max(failures, attempts) + usualAttempts)
+	failures := l.peers.failuresAt(now, endpoint)
+	return failures / (max(failures, attempts) + priorAttempts)
 }
 
-// Full records that an endpoint has less memory than reckoned; it gets nothing
-// until one of its generations is expected to end.
-func (l *Loads) Full(now time.Time, endpoint string, until time.Duration) {
+// RecordFull records that an endpoint has less free memory than estimated. It gets no
+// generations until one of those running there is expected to end.
+func (l *Loads) RecordFull(now time.Time, endpoint string, until time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.healthOf(now, endpoint).fullUntil = now.Add(until)
 }
 
-// Quiet records that an endpoint wants nothing from this process for a time.
-func (l *Loads) Quiet(now time.Time, endpoint string, lasting time.Duration) {
+// RecordBackoff records that an endpoint asked this process to send nothing for this
+// long.
+func (l *Loads) RecordBackoff(now time.Time, endpoint string, lasting time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.healthOf(now, endpoint)
-	if until := now.Add(lasting); until.After(h.quietUntil) {
-		h.quietUntil = until
+	if until := now.Add(lasting); until.After(h.backoffUntil) {
+		h.backoffUntil = until
 	}
 }
 
-// quietLeft is how long an endpoint still wants nothing from this process.
-func (l *Loads) quietLeft(now time.Time, endpoint string) time.Duration {
+// backoffLeft returns how much longer the endpoint accepts nothing from this process.
+func (l *Loads) backoffLeft(now time.Time, endpoint string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if h := l.health[endpoint]; h != nil {
-		return max(h.quietUntil.Sub(now), 0)
+		return max(h.backoffUntil.Sub(now), 0)
 	}
 	return 0
 }
 
-// Keep forgets the records of endpoints that are not published any more.
-func (l *Loads) Keep(published func(endpoint string) bool) {
+// Retain drops the records of endpoints that are no longer published, except those that
+// are still backing off.
+func (l *Loads) Retain(published func(endpoint string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id := range l.health {
-		if !published(id) && !time.Now().Before(l.health[id].quietUntil) {
+		if !published(id) && !time.Now().Before(l.health[id].backoffUntil) {
 			delete(l.health, id)
 		}
 	}
--- a/router/late.go
+++ b/router/late.go
@@ -4,140 +4,144 @@
 	"time"
 )
 
-// For some seconds twice as many
-// generations come as the decode engines have memory for. Each of them takes
-// the same memory whether its first event comes on time or not, so memory
-// goes to those that can still be on time; those that can't be leave room for
-// them and come when the burst is over. Nobody starves: four fifths of the memory
-// are for whoever comes, and the rest of an answer that has begun goes with those
-// on time.
+// Admission under overload.
+//
+// In a burst, for some seconds twice as many generations arrive as the decode engines
+// have memory for. Each takes the same memory whether its first event is on time or late,
+// so memory goes to those that can still be on time; the late ones are refused and retry
+// after the burst. They are not starved: four fifths of the memory are open to all, and
+// the rest of an answer that has begun is admitted like a generation on time.
 const (
-	// lateFill is the part of an engine's memory that a late generation may
-	// fill, also when it has waited.
+	// lateFill is the fraction of an engine's memory that may be in use when a late
+	// generation starts, even one that has waited.
 	lateFill = 0.80
-	// minWait is the least time that a generation waits before it is refused:
-	// a few looks for room.
-	minWait = 5 * roomPause
-	// cameBack is how much less than usual a caller's time limit must be to
-	// tell that it asks again.
-	cameBack = 100 * time.Millisecond
-	// retryLeast and retrySpread are when a refused generation may come back,
-	// in usual lives of an answer: after one life each place that is taken now
-	// has become free; the return is spread over about as long. A burst of
-	// some seconds is over then.
-	retryLeast  = 0.7
-	retrySpread = 0.55
-	// retryMostShare bounds it by a part of the caller's time limit, a little
-	// under the third up to which callers heed it.
-	retryMostShare = 0.32
+	// minWait is the minimum time that a generation waits before it is refused: a few
+	// attempts to place it.
+	minWait = 5 * roomPollInterval
+	// retryThreshold is by how much a caller's timeout must be below the longest one of
+	// its route to show that the caller is retrying.
+	retryThreshold = 100 * time.Millisecond
+	// minRetryAnswers and retrySpreadAnswers determine when a refused generation may be
+	// retried, in expected answer durations. After one answer duration all memory in use
+	// now has been freed. The retries are spread over about as long. A burst of some
+	// seconds is over by then.
+	minRetryAnswers    = 0.7
+	retrySpreadAnswers = 0.55
+	// maxRetryFraction bounds the retry delay as a fraction of the caller's timeout. It is
+	// slightly below the third up to which callers respect the delay.
+	maxRetryFraction = 0.32
 )
 
-// lateness is what the target of a generation says about its turn.
-type lateness struct {
-	// by is when it must be placed to be on time.
-	by time.Time
-	// again says that the caller was refused before.
-	again bool
-	// begun says that the caller has a part of the answer.
+// admissionPolicy determines how a generation may be admitted over time, given its
+// latency target.
+type admissionPolicy struct {
+	// placeBy is when the generation must be placed to meet its target.
+	placeBy time.Time
+	// retried says that the caller was refused before and is retrying.
+	retried bool
+	// begun says that the caller has received a part of the answer.
 	begun bool
-	// yields says that the service has more urgent routes.
-	yields bool
-	// wait is how long one that came back, or has begun, waits for room.
-	wait time.Duration
-	// target is when the first event is due; hopeless says that even an idle
-	// engine takes longer.
-	target   time.Time
-	hopeless bool
+	// lessUrgent says that the service has more urgent routes.
+	lessUrgent bool
+	// maxWait is how long a retry, or the rest of an answer that has begun, waits for
+	// room.
+	maxWait time.Duration
+	// dueAt is when the first event is due. unattainable says that even an idle engine
+	// would miss the target.
+	dueAt        time.Time
+	unattainable bool
 }
 
-// turn is what a waiting generation may do now.
-type turn struct {
+// admissionRule is what a waiting generation may do at a given moment: fill is the
+// fraction of an engine's memory that may be in use, and refuse says to give up if there
+// is no room.
+type admissionRule struct {
 	fill   float64
 	refuse bool
-	// behind: it may wait behind other prompts though it is late.
-	behind bool
+	// mayQueue says that it may queue behind other prompts although it is late.
+	mayQueue bool
 }
 
-func (l lateness) turn(now, began time.Time) turn {
+func (l admissionPolicy) rule(now, began time.Time) admissionRule {
 	waited := now.Sub(began)
 	if l.begun {
-		return turn{fill: fullFill, refuse: waited >= l.wait, behind: true}
+		return admissionRule{fill: maxFill, refuse: waited >= l.maxWait, mayQueue: true}
 	}
-	if now.Before(l.by) {
-		return turn{fill: l.full()}
+	if now.Before(l.placeBy) {
+		return admissionRule{fill: l.fillLimit()}
 	}
-	if !l.again {
-		return turn{fill: lateFill, refuse: waited >= minWait}
+	if !l.retried {
+		return admissionRule{fill: lateFill, refuse: waited >= minWait}
 	}
-	return turn{fill: lateFill, refuse: waited >= l.wait}
+	return admissionRule{fill: lateFill, refuse: waited >= l.maxWait}
 }
 
-// standsBack reports whether a way is not for a call now.
+// defers reports whether the call should not use this placement now.
 //
-// More prompts come than are computed in time. First come
-// first served, each waits behind all others, and nobody's answer begins on
-// time. So a prompt that would be late does not wait before an engine: one that
-// came first is told so at once, one that came back takes idle engines only. Where
-// no engine could keep the target, nobody stands back.
-func (l lateness) standsBack(now time.Time, p placement, t turn) bool {
-	if l.hopeless || t.behind || p.ahead == 0 {
+// When more prompts arrive than can be prefilled in time, a plain queue would make every
+// answer late. So a prompt that would be late does not queue at an engine: a first
+// attempt is refused at once, and a retry takes idle engines only. If no engine could
+// meet the target, nothing is deferred.
+func (l admissionPolicy) defers(now time.Time, p placement, rule admissionRule) bool {
+	if l.unattainable || rule.mayQueue || p.queuedTokens == 0 {
 		return false
 	}
-	return now.Add(p.first.Mean).After(l.target)
+	return now.Add(p.firstEvent.Mean).After(l.dueAt)
 }
 
-// full is the part of an engine's memory that a call may fill at most.
+// fillLimit returns the maximum fraction of an engine's memory that a call on time may
+// fill.
 //
-// More generations come than engines have memory for,
-// on routes of different rank. Without a difference here the least urgent ones
-// take the same part of what becomes free, and the urgent ones are refused as
-// often as they. What is kept free serves the urgent ones' bursts.
-func (l lateness) full() float64 {
-	if l.yields {
+// On an overloaded service with routes of different rank, the least urgent ones would
+// otherwise take an equal share of the memory that becomes free, and urgent ones would be
+// refused as often. The memory kept free serves bursts of the urgent ones.
+func (l admissionPolicy) fillLimit() float64 {
+	if l.lessUrgent {
 		return lateFill
 	}
-	return fullFill
+	return maxFill
 }
 
-// retry is when a refused caller may come back.
-func (g *generationRun) retry() time.Duration {
+// retryDelay returns when a refused caller may retry.
+func (g *generationRun) retryDelay() time.Duration {
 	m := g.r.loads.Engines(g.c.Service)
-	life := m.Life(g.c.Wait)
-	least := time.Duration(retryLeast * float64(life))
-	spread := time.Duration(retrySpread * float64(life))
-	most := time.Duration(retryMostShare * float64(g.c.Wait))
-	if least+spread > most {
-		least, spread = max(most-spread, most/2), min(spread, most/2)
+	duration := m.Life(g.c.Wait)
+	minDelay := time.Duration(minRetryAnswers * float64(duration))
+	spread := time.Duration(retrySpreadAnswers * float64(duration))
+	maxDelay := time.Duration(maxRetryFraction * float64(g.c.Wait))
+	if minDelay+spread > maxDelay {
+		minDelay, spread = max(maxDelay-spread, maxDelay/2), min(spread, maxDelay/2)
 	}
-	closed := g.r.closedLeft(time.Now(), g.c.Service.Name, Decode, g.limited)
-	return closed + g.r.jitter(least, max(spread, time.Millisecond))
+	unavailable := g.r.unavailableFor(time.Now(), g.c.Service.Name, Decode, g.limited)
+	return unavailable + g.r.jitter(minDelay, max(spread, time.Millisecond))
 }
 
-// lateness reckons with the time that the caller has spent before, and with the
-// usual time to the first event on idle engines. A caller that asks again names
-// less time than one that asks first; the most that a route's callers named is
-// that of the first.
-func (g *generationRun) lateness() lateness {
+// newAdmissionPolicy derives the policy from the target, the time that the caller has
+// spent on earlier attempts and the expected time to the first event on idle engines. A
+// caller that retries requests a shorter timeout than at first; the longest timeout of
+// the route's callers is taken for that of first attempts.
+func (g *generationRun) newAdmissionPolicy() admissionPolicy {
 	r, c := g.r, g.c
 	m := r.loads.Engines(c.Service)
-	first := m.Prompt(c.Prompt, c.Prompt, c.promise()).Plus(m.Handoff(false, c.promise())).Mean
-	spent := r.longestWait(c) - c.Wait
-	return lateness{
-		by:       c.Began.Add(c.Route.Target - spent - first),
-		target:   c.Began.Add(c.Route.Target - spent),
-		hopeless: first > c.Route.Target,
-		again:    spent > cameBack,
-		begun:    c.Resume != NoNumber,
-		yields:   !c.ranked() && r.Directory().Yields(c.Route, c.Service.Name),
-		wait:     max(g.patience()-2*first, minWait),
+	ttft := m.Prompt(c.Prompt, c.Prompt, c.slo()).Plus(m.Handoff(false, c.slo())).Mean
+	spent := r.longestTimeout(c) - c.Wait
+	return admissionPolicy{
+		placeBy:      c.Began.Add(c.Route.Target - spent - ttft),
+		dueAt:        c.Began.Add(c.Route.Target - spent),
+		unattainable: ttft > c.Route.Target,
+		retried:      spent > retryThreshold,
+		begun:        c.Resume != NoNumber,
+		lessUrgent:   !c.ranked() && r.Directory().HasMoreUrgent(c.Route, c.Service.Name),
+		maxWait:      max(g.silenceTimeout()-2*ttft, minWait),
 	}
 }
 
-// longestWait returns the longest time limit that callers of a route named.
-func (r *Router) longestWait(c *Call) time.Duration {
+// longestTimeout returns the longest timeout that callers of the call's route have
+// requested.
+func (r *Router) longestTimeout(c *Call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	longest := max(r.waits[c.Route.Name], c.Wait)
-	r.waits[c.Route.Name] = longest
+	longest := max(r.longestTimeouts[c.Route.Name], c.Wait)
+	r.longestTimeouts[c.Route.Name] = longest
 	return longest
 }
--- a/router/learn.go
+++ b/router/learn.go
@@ -6,18 +6,17 @@
 	"ebonypulley/estimate"
 )
 
-// Engines of a speed that nobody told. A
-// figure that is right for one deployment makes a router give up work that is
-// under way at another, send it again, and keep all engines busy with work that
-// is lost. What is learned here of a service's engines, and of each engine
-// against the others, replaces such figures.
+// The speeds of engines are learned rather than configured. A figure that suits one
+// deployment makes the router at another abandon work in progress and send it again,
+// until all engines are busy with abandoned work. Package estimate learns the speed of a
+// service's engines; Loads learns how each engine compares with them.
 
-// engineModel returns what is learned of a service's engines; l.mu is held.
+// engineModel returns the estimates for a service's engines; l.mu must be held.
 func (l *Loads) engineModel(s *Service) *estimate.Engines {
-	m := l.engines[s.Name]
+	m := l.engineModels[s.Name]
 	if m == nil {
 		m = estimate.NewEngines()
-		l.engines[s.Name] = m
+		l.engineModels[s.Name] = m
 	}
 	if s.Engine != nil {
 		m.Slowdown = s.Engine.PromptSlowdown
@@ -25,80 +24,81 @@
 	return m
 }
 
-// Engines returns a copy of what is learned of a service's engines.
+// Engines returns a copy of the estimates for a service's engines.
 func (l *Loads) Engines(s *Service) estimate.Engines {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return *l.engineModel(s)
 }
 
-// Learn changes what is learned of a service's engines.
+// Learn updates the estimates for a service's engines.
 func (l *Loads) Learn(s *Service, change func(m *estimate.Engines)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(l.engineModel(s))
 }
 
-// Prefilled records a prefill of tokens, own and waiting before.
-func (l *Loads) Prefilled(now time.Time, e *Endpoint, s *Service, tokens int, took time.Duration) {
+// RecordPrefill records the duration of a prefill of this many tokens, including those
+// queued before it.
+func (l *Loads) RecordPrefill(now time.Time, e *Endpoint, s *Service, tokens int, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.healthOf(now, e.ID)
-	h.fail *= 1 - failWeight
-	h.good(now)
+	h.failureRate *= 1 - failureWeight
+	h.recordSuccess(now)
 	m := l.engineModel(s)
 	m.Prompted(tokens, took)
-	h.slower(float64(took), float64(m.Prompt(tokens, tokens, estimate.Promise{}).Mean))
+	h.updateSlowdown(float64(took), float64(m.Prompt(tokens, tokens, estimate.Promise{}).Mean))
 }
 
-// Paused records an undisturbed pause between two events of one of several
-// streams.
-func (l *Loads) Paused(now time.Time, e *Endpoint, s *Service, streams int, pause time.Duration) {
+// RecordGap records a gap between two events of a stream, without prefill interference,
+// at an engine that runs this many streams.
+func (l *Loads) RecordGap(now time.Time, e *Endpoint, s *Service, streams int, gap time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.engineModel(s)
-	m.Paused(streams, pause)
+	m.Paused(streams, gap)
 	h := l.healthOf(now, e.ID)
 	if usual := m.Pause(streams, estimate.Promise{}).Mean; usual > 0 {
-		h.pace += (float64(pause)/float64(usual) - h.pace) * paceWeight
+		h.stepSlowdown += (float64(gap)/float64(usual) - h.stepSlowdown) * gapWeight
 	}
 }
 
-// Answered records a plain call and how long it took.
-func (l *Loads) Answered(now time.Time, e *Endpoint, took time.Duration) {
-	l.Succeeded(now, e.ID)
+// RecordCall records a successful plain call and its duration.
+func (l *Loads) RecordCall(now time.Time, e *Endpoint, took time.Duration) {
+	l.RecordSuccess(now, e.ID)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.callModel(e.Service)
 	m.Add(float64(took))
-	l.healthOf(now, e.ID).slower(float64(took), m.Mean(0))
+	l.healthOf(now, e.ID).updateSlowdown(float64(took), m.Mean(0))
 }
 
-// callModel returns the time of a service's plain calls in nanoseconds; l.mu is
-// held.
+// callModel returns the estimate of a service's call duration in nanoseconds; l.mu must
+// be held.
 func (l *Loads) callModel(service string) *estimate.Mean {
-	m := l.calls[service]
+	m := l.callTimes[service]
 	if m == nil {
 		m = new(estimate.Mean)
-		l.calls[service] = m
+		l.callTimes[service] = m
 	}
 	return m
 }
 
-// CallTime returns the usual time of a service's plain calls.
+// CallTime returns the expected duration of a service's plain calls.
 func (l *Loads) CallTime(service string, target time.Duration) estimate.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.callModel(service)
-	prior := float64(target) * priorCallShare
+	prior := float64(target) * priorCallFraction
 	return estimate.Time{Mean: time.Duration(m.Mean(prior)), Spread: time.Duration(m.Spread(prior))}
 }
 
-// priorCallShare is the part of its target that a plain call is assumed to take
-// until one was observed.
-const priorCallShare = 0.25
+// priorCallFraction is the fraction of its latency target that a plain call is assumed to
+// take until one was observed.
+const priorCallFraction = 0.25
 
-// promise returns what the operators promise of a call's route.
-func (c *Call) promise() estimate.Promise {
+// slo returns the latency objectives of the call's route.
+func (c *Call) slo() estimate.Promise {
 	return estimate.Promise{Target: c.Route.Target, Gap: c.Route.Gap}
 }
--- a/router/limit_test.go
+++ b/router/limit_test.go
@@ -12,15 +12,15 @@
 	"ebonypulley/router"
 )
 
-// TestGenerationAtTheLimit: all engines are at the limit that they name, and a caller that is
-// refused for it alone is told to come back before any of them takes a request.
-func TestGenerationAtTheLimit(t *testing.T) {
+// TestRetryAfterEndpointLimit: a caller refused only because all engines are at their
+// announced limits must not be told to retry before one of them accepts a request.
+func TestRetryAfterEndpointLimit(t *testing.T) {
 	for range 10 { // some are admitted by chance
-		synctest.Test(t, refuseAtTheLimit)
+		synctest.Test(t, testRetryAfterEndpointLimit)
 	}
 }
 
-func refuseAtTheLimit(t *testing.T) {
+func testRetryAfterEndpointLimit(t *testing.T) {
 	list := []*router.Endpoint{engine("d1", router.Decode), engine("d2", router.Decode)}
 	r := newRouter(&fakeEndpoints{}, list...)
 	r.SetEntries(1)
@@ -29,7 +29,7 @@
 	}
 	var fail *router.Failure
 	for range 10 {
-		if _, fail = r.Generate(t.Context(), newCall(draftRoute, llm), new(fakeSink)); fail != nil {
+		if _, fail = r.Generate(t.Context(), newCall(resumableRoute, llm), new(fakeSink)); fail != nil {
 			break
 		}
 	}
--- a/router/load.go
+++ b/router/load.go
@@ -7,15 +7,15 @@
 	"ebonypulley/estimate"
 )
 
-// Load is work under way at one endpoint.
+// Load is the work in progress at one endpoint.
 type Load struct {
-	// Calls are plain calls in progress.
+	// Calls is the number of plain calls in progress.
 	Calls int
-	// Prefill is the number of prompt tokens waiting or being computed.
+	// Prefill is the number of prompt tokens queued or being computed.
 	Prefill int
-	// Decodes are generations in progress or about to start.
+	// Decodes is the number of generations in progress or about to start.
 	Decodes int
-	// KV is the memory in tokens that they take.
+	// KV is the number of KV cache tokens in use by those generations.
 	KV int
 }
 
@@ -23,37 +23,36 @@
 	return Load{Calls: l.Calls + o.Calls, Prefill: l.Prefill + o.Prefill, Decodes: l.Decodes + o.Decodes, KV: l.KV + o.KV}
 }
 
-func (l Load) negative() Load {
+func (l Load) negated() Load {
 	return Load{Calls: -l.Calls, Prefill: -l.Prefill, Decodes: -l.Decodes, KV: -l.KV}
 }
 
-func (l Load) zero() bool { return l == Load{} }
+func (l Load) isZero() bool { return l == Load{} }
 
-// Loads is what this process knows of the work at all endpoints: its own
-// exactly, that of other entries as they last said.
+// Loads tracks the load and health of all endpoints: the work of this process exactly,
+// that of the other entries as of their last reports.
 type Loads struct {
 	mu     sync.Mutex
 	own    map[string]Load
-	others others
+	peers  peerLoads
 	health map[string]*health
-	// engines and calls hold what is learned of each service.
-	engines map[string]*estimate.Engines
-	calls   map[string]*estimate.Mean
-	// arrivals count what comes to this process, by service.
-	arrivals map[string]*arrivals
+	// engineModels and callTimes hold the latency estimates of each service.
+	engineModels map[string]*estimate.Engines
+	callTimes    map[string]*estimate.Mean
+	// arrivals holds the demand that reaches this process, by service.
+	arrivals map[string]*demandRate
 	dirty    bool
 }
 
-// NewLoads returns an empty Loads.
 func NewLoads() *Loads {
 	return &Loads{
-		own: make(map[string]Load), others: newOthers(), health: make(map[string]*health),
-		engines: make(map[string]*estimate.Engines), calls: make(map[string]*estimate.Mean),
-		arrivals: make(map[string]*arrivals),
+		own: make(map[string]Load), peers: newPeerLoads(), health: make(map[string]*health),
+		engineModels: make(map[string]*estimate.Engines), callTimes: make(map[string]*estimate.Mean),
+		arrivals: make(map[string]*demandRate),
 	}
 }
 
-// Work is work under way at one endpoint.
+// Work is a handle on work in progress at one endpoint.
 type Work struct {
 	loads    *Loads
 	endpoint string
@@ -62,13 +61,13 @@
 	ended    bool
 }
 
-// Begin records work at an endpoint until End.
+// Begin records work at an endpoint until Work.End.
 func (l *Loads) Begin(endpoint string, work Load) *Work {
-	l.change(endpoint, work)
+	l.addOwn(endpoint, work)
 	return &Work{loads: l, endpoint: endpoint, sum: work}
 }
 
-// Grow adds to the work, unless it has ended.
+// Grow adds to the work. It does nothing after End.
 func (w *Work) Grow(by Load) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -76,10 +75,10 @@
 		return
 	}
 	w.sum = w.sum.add(by)
-	w.loads.change(w.endpoint, by)
+	w.loads.addOwn(w.endpoint, by)
 }
 
-// End ends the work; again it has no effect.
+// End ends the work. Further calls do nothing.
 func (w *Work) End() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,22 +86,22 @@
 		return
 	}
 	w.ended = true
-	w.loads.change(w.endpoint, w.sum.negative())
+	w.loads.addOwn(w.endpoint, w.sum.negated())
 }
 
-func (l *Loads) change(endpoint string, by Load) {
+func (l *Loads) addOwn(endpoint string, by Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum := l.own[endpoint].add(by)
 	l.dirty = true
-	if sum.zero() {
+	if sum.isZero() {
 		delete(l.own, endpoint)
 		return
 	}
 	l.own[endpoint] = sum
 }
 
-// Own returns this process's work, and whether it changed since the last call.
+// Own returns the work of this process, and whether it changed since the last call.
 func (l *Loads) Own() (loads map[string]Load, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,51 +114,51 @@
 	return loads, changed
 }
 
-// Hear records another process's work and the demand that comes to it.
+// Hear replaces the reported work and demand of another process.
 func (l *Loads) Hear(now time.Time, process string, loads map[string]Load, demand map[string]Demand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.others.hear(now, process, loads, demand)
+	l.peers.setReport(now, process, loads, demand)
 }
 
-// at returns all known work at an endpoint; l.mu is held.
-func (l *Loads) at(now time.Time, endpoint string) Load {
-	return l.own[endpoint].add(l.others.work(now, endpoint))
+// total returns the work of all processes at an endpoint; l.mu must be held.
+func (l *Loads) total(now time.Time, endpoint string) Load {
+	return l.own[endpoint].add(l.peers.loadAt(now, endpoint))
 }
 
-// View is the state of one endpoint at a moment.
+// View is a snapshot of the load and health of one endpoint.
 type View struct {
 	Load
-	// FailShare is the recent share of attempts that failed, 0 to 1.
-	FailShare float64
-	// Slow is how much longer a prefill or a plain call takes than at the
-	// service's usual endpoint.
-	Slow float64
-	// Pace is how much longer a step takes than there.
-	Pace float64
-	// Full says that the endpoint just refused a reservation.
+	// FailureRate is the fraction of recent attempts that failed, 0 to 1.
+	FailureRate float64
+	// Slowdown is the ratio of the endpoint's prefill or call times to those of the
+	// service as a whole.
+	Slowdown float64
+	// StepSlowdown is the same ratio for decode steps.
+	StepSlowdown float64
+	// Full says that the endpoint refused a reservation just now.
 	Full bool
-	// Quiet says that the endpoint wants nothing from this process.
-	Quiet bool
-	// Avoid says that the endpoint gets work only if no other can take it.
-	Avoid bool
+	// BackingOff says that the endpoint asked this process to send nothing for a while.
+	BackingOff bool
+	// Avoided says that the endpoint gets work only if no other can take it.
+	Avoided bool
 }
 
-// View returns what is known of an endpoint.
+// View returns a snapshot of an endpoint's load and health.
 func (l *Loads) View(now time.Time, endpoint string) View {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v := View{Load: l.at(now, endpoint), Slow: 1, Pace: 1}
+	v := View{Load: l.total(now, endpoint), Slowdown: 1, StepSlowdown: 1}
 	h := l.health[endpoint]
 	if h == nil {
 		return v
 	}
-	h.fade(now)
-	v.FailShare = h.fail
-	v.Slow = h.slow
-	v.Pace = h.pace
-	v.Quiet = now.Before(h.quietUntil)
+	h.decay(now)
+	v.FailureRate = h.failureRate
+	v.Slowdown = h.slowdown
+	v.StepSlowdown = h.stepSlowdown
+	v.BackingOff = now.Before(h.backoffUntil)
 	v.Full = now.Before(h.fullUntil)
-	v.Avoid = now.Before(h.avoidUntil) || now.Before(h.heardUntil)
+	v.Avoided = now.Before(h.avoidUntil) || now.Before(h.peerAvoidUntil)
 	return v
 }
--- a/router/model.go
+++ b/router/model.go
@@ -1,7 +1,7 @@
-// Package router decides what happens to each request: which endpoint gets it
-// and when, what is repeated, what is turned away and how an answer is put
-// back together. It works on typed values and knows no wire: callers,
-// endpoints and what the platform publishes reach it through interfaces.
+// Package router routes requests to endpoints. It chooses the endpoint of each request,
+// queues, retries or refuses requests, and resumes interrupted streams at other
+// endpoints. It works on typed values and does no I/O of its own: callers, endpoints and
+// published configuration are reached through interfaces.
 package router
 
 import (
@@ -14,85 +14,85 @@
 	"ebonypulley/quota"
 )
 
-// Kind says what may be repeated.
+// Kind determines whether the calls of a route may be repeated.
 type Kind uint8
 
-// Kinds of routes.
 const (
-	// Idempotent calls may run more than once.
+	// Idempotent calls may be executed more than once.
 	Idempotent Kind = iota + 1
-	// NonIdempotent calls run at most once.
+	// NonIdempotent calls are executed at most once.
 	NonIdempotent
-	// Generation is an answer in a stream of events by a model engine.
+	// Generation calls are answered by a model engine with a stream of events.
 	Generation
 )
 
-// Role is the part that an endpoint plays.
+// Role is what an endpoint does for its service.
 type Role uint8
 
-// Roles.
 const (
-	// Plain services answer calls.
+	// Plain endpoints answer calls in one piece.
 	Plain Role = iota
 	// Prefill engines compute the KV cache of prompts.
 	Prefill
-	// Decode engines generate; they can also compute prompts, more slowly.
+	// Decode engines generate tokens. They can also prefill prompts, more slowly.
 	Decode
 )
 
-// Route says which service gets a request and what is promised about it.
+// Route maps requests to services and sets their latency objectives and retry rules.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Resumable generations may go on at another endpoint.
+	// Resumable allows a generation to continue at another endpoint.
 	Resumable bool
-	// Timeout is the longest time that a request may be kept waiting.
+	// Timeout is the maximum time to serve a request.
 	Timeout time.Duration
-	// Target is the latency objective: to the answer, or to the first event.
+	// Target is the latency objective: time to the answer, or to the first event of a
+	// stream.
 	Target time.Duration
-	// Gap is the longest pause between two events of a generation on time;
-	// zero if nothing is promised.
+	// Gap is the objective for the longest gap between two events of a stream, or zero for
+	// none.
 	Gap time.Duration
-	// Patience is the longest silence after which callers leave a generation,
-	// zero if nothing is known of it.
+	// Patience is the silence after which callers abandon a stream, or zero if unknown.
 	Patience time.Duration
-	// KeyExempt routes serve callers without a key.
+	// KeyExempt routes need no workspace key.
 	KeyExempt bool
-	// MaxAttempts is the number of endpoints that may get one request; zero
+	// MaxAttempts is the maximum number of endpoints that one request may be sent to; zero
 	// leaves it to the retry budget.
 	MaxAttempts int
-	// Rank is the route's rank among those of its services, 0 the most urgent.
+	// Rank is the urgency of the route among those of its services, 0 being the most
+	// urgent.
 	Rank int
-	// Services share the route's requests by weight.
+	// Services lists the services that share the route's requests, by weight.
 	Services []Share
 }
 
-// Share is a service's part of a route.
+// Share is the share of a route's requests that a service receives.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Workspace is one that callers belong to by their keys.
+// Workspace is a customer, whose callers authenticate with its keys.
 type Workspace struct {
 	Name string
-	// ID stands for it among entries.
+	// ID identifies the workspace in messages between entries.
 	ID quota.ID
-	// Rank goes before the rank of routes, unless it is NoRank.
+	// Rank overrides the rank of routes, unless it is NoRank.
 	Rank int
-	// Limit bounds its use in tokens, over all entries together.
+	// Limit bounds the use of all entries together, in tokens.
 	Limit quota.Limit
-	// CountsRequests says that the limit counts requests, not tokens.
+	// CountsRequests says that the limit counts requests instead of tokens.
 	CountsRequests bool
-	// PlainTokens is what a request counts as that names no tokens.
+	// PlainTokens is what a request without tokens costs.
 	PlainTokens int
-	// Keys are the digests of its keys.
+	// Keys holds the digests of the workspace's keys.
 	Keys []KeyDigest
 }
 
-// Count is what a request of some tokens, zero for none, counts as against the limit.
+// Count returns what a request with this many tokens (zero for none) costs against the
+// limit.
 func (w *Workspace) Count(tokens int) int {
 	switch {
 	case w.CountsRequests:
@@ -103,20 +103,21 @@
 	return tokens
 }
 
-// NoRank is the rank of a workspace that has none.
+// NoRank is the rank of a workspace without a rank of its own.
 const NoRank = -1
 
-// KeyDigest stands for a key: the first half of its SHA-256. Keys are random, so that
-// neither the time of a look-up nor a digest that is seen tells anything of one.
+// KeyDigest identifies a workspace key: the first half of its SHA-256 hash. Keys are
+// random, so that neither the time of a lookup nor a disclosed digest reveals anything
+// about a key.
 type KeyDigest [sha256.Size / 2]byte
 
-// DigestKey returns the digest of a key as a caller sends it.
+// DigestKey returns the digest of a key as callers send it.
 func DigestKey(key string) KeyDigest {
 	sum := sha256.Sum256([]byte(key))
 	return KeyDigest(sum[:sha256.Size/2])
 }
 
-// Service is a set of endpoints with equal duties.
+// Service is a set of interchangeable endpoints, or of prefill and decode engines.
 type Service struct {
 	Name string
 	// Engine is nil for plain services.
@@ -125,41 +126,40 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is the number of requests in one batch.
+	// Slots is the maximum batch size of an engine.
 	Slots int
-	// KVTokens is the memory for running and cached tokens.
+	// KVTokens is the KV cache capacity of an engine in tokens, for running and cached
+	// requests.
 	KVTokens int
-	// Stride is the number of tokens in one event of a stream.
+	// Stride is the number of tokens per stream event.
 	Stride int
 	// ResultLife is how long a prefill result is kept.
 	ResultLife time.Duration
-	// PromptSlowdown is how much longer a decode engine takes for a prompt
-	// than a prefill engine, zero if nothing is published of it.
+	// PromptSlowdown is the ratio of a decode engine's prefill time to that of a prefill
+	// engine, or zero if unknown.
 	PromptSlowdown float64
-	// StageSwitch is how long an engine takes to change its stage.
+	// StageSwitch is how long an engine takes to switch between the prefill and decode
+	// stages.
 	StageSwitch time.Duration
-	// HoldMost is the longest time that memory can be reserved, zero if there
-	// is no limit.
+	// HoldMost is the maximum time that memory can be reserved, or zero for no limit.
 	HoldMost time.Duration
 }
 
 // Endpoint is one incarnation of an engine or a plain service.
 type Endpoint struct {
-	// ID names the incarnation; all that is known of an endpoint is kept under
-	// it.
+	// ID identifies the incarnation. All records about an endpoint are kept under its ID.
 	ID string
-	// Name is what the endpoint answers to. It may outlive an incarnation;
-	// empty if it is the ID.
+	// Name identifies the endpoint across incarnations. If empty, the ID does.
 	Name       string
 	Addr       string
 	Service    string
 	DataCentre string
 	Role       Role
-	// Slots is the number of requests that it runs at once.
+	// Slots is the number of requests that the endpoint runs concurrently.
 	Slots int
 }
 
-// CalledBy returns the name that requests to the endpoint bear.
+// CalledBy returns the name that requests to the endpoint carry.
 func (e *Endpoint) CalledBy() string {
 	if e.Name != "" {
 		return e.Name
@@ -167,50 +167,49 @@
 	return e.ID
 }
 
-// Call is one request of a caller.
+// Call is one request from a caller.
 type Call struct {
-	// ID is the caller's name for this attempt.
+	// ID is the caller's identifier of this request.
 	ID    string
 	Route *Route
-	// Service is the share of the route that this request falls to.
+	// Service is the service chosen among those of the route.
 	Service *Service
-	// Workspace is the caller's, nil if there are none.
+	// Workspace is the caller's workspace, or nil if callers need no key.
 	Workspace *Workspace
-	// Tokens is what the call counts as against its workspace's limit.
+	// Tokens is what the call costs against the limit of its workspace.
 	Tokens int
-	// Began is when the request was read.
+	// Began is when the request was received.
 	Began time.Time
-	// Deadline is when the caller or the route stops waiting.
+	// Deadline is when the timeout of the caller or the route expires.
 	Deadline time.Time
-	// Wait is the time limit that the caller names.
+	// Wait is the caller's timeout.
 	Wait time.Duration
-	// Message is the request itself, opaque to decisions.
+	// Message is the request itself, opaque to this package.
 	Message any
-	// Content is the digest of what is asked for, the same in each attempt that a
-	// caller makes again; zero if nothing is known of it.
+	// Content is a hash of the request's content, equal when a caller repeats the request;
+	// zero if unknown.
 	Content uint64
-	// Prompt is the number of prompt tokens, and Output the most that may be
-	// generated; both zero for plain calls.
+	// Prompt is the number of prompt tokens and Output the maximum number of generated
+	// tokens. Both are zero for plain calls.
 	Prompt, Output int
-	// Hint is the caller's estimate of the generated tokens, zero if none.
+	// Hint is the caller's estimate of the number of generated tokens, or zero for none.
 	Hint int
-	// Session names the part of the prompt that is this caller's own; the same
-	// prompt asked for again has the same.
+	// Session identifies the part of the prompt that is specific to this caller. Requests
+	// with the same prompt have the same session.
 	Session string
-	// Resume is the number of the last event that the caller has, or NoNumber.
+	// Resume is the number of the last event that the caller received, or NoNumber.
 	Resume int64
-	// Class names the histograms that the call counts in; the service's name
-	// if empty.
+	// Class names the latency histograms that the call counts in; if empty, the service's
+	// name does.
 	Class string
-	// MaxWait is how long the call may queue at a gate before its answer
-	// begins.
+	// MaxWait is how long the call may queue at an agent before its answer begins.
 	MaxWait time.Duration
-	// Keyed calls may run at one endpoint only, the owner of their
-	// idempotency key.
+	// Keyed calls may run only at the endpoint that owns their idempotency key.
 	Keyed bool
 }
 
-// Rank is the call's rank, 0 the most urgent: its workspace's, else its route's.
+// Rank returns the urgency of the call, 0 being the most urgent: the rank of its
+// workspace if that has one, else of its route.
 func (c *Call) Rank() int {
 	if c.ranked() {
 		return c.Workspace.Rank
@@ -218,10 +217,10 @@
 	return c.Route.Rank
 }
 
-// ranked reports whether the rank of the call's workspace goes before that of its route.
+// ranked reports whether the workspace's rank overrides that of the route.
 func (c *Call) ranked() bool { return c.Workspace != nil && c.Workspace.Rank != NoRank }
 
-// class names the histograms of the call.
+// class returns the name of the call's histograms.
 func (c *Call) class() string {
 	if c.Class != "" {
 		return c.Class
@@ -229,13 +228,13 @@
 	return c.Service.Name
 }
 
-// ContentField is the call's content as it stands in logs.
+// ContentField returns the content hash as a log field.
 func (c *Call) ContentField() zap.Field {
 	return zap.String("content", strconv.FormatUint(c.Content, 16))
 }
 
-// Patience is how long the call may queue at a gate now: its MaxWait before
-// its answer has begun, and all the time there is after.
+// Patience returns how long the call may queue at an agent: the rest of MaxWait before
+// the answer has begun, and until the deadline afterwards.
 func (c *Call) Patience(now time.Time, begun bool) time.Duration {
 	left := c.Left(now)
 	if !begun {
--- a/router/notice.go
+++ b/router/notice.go
@@ -9,48 +9,48 @@
 	"ebonypulley/quota"
 )
 
-// leavingMemory is how long after it was last published an endpoint that leaves is
-// remembered: a store that was away may list it again.
-const leavingMemory = 10 * time.Minute
+// leavingTTL is how long a leaving endpoint is remembered after it was last published. A
+// store that recovers from an outage may list it again.
+const leavingTTL = 10 * time.Minute
 
-// Notice is what an endpoint says of itself beside an answer.
+// Notice is what an endpoint announces about itself along with an answer.
 type Notice struct {
-	// Asked is when that was sent which it answers.
+	// Asked is when the request was sent that it answers.
 	Asked time.Time
-	// Leaving: it ends soon.
+	// Leaving says that the endpoint shuts down soon.
 	Leaving bool
-	// Quiet is how long it wants nothing from this process.
+	// Quiet is how long the endpoint accepts nothing from this process.
 	Quiet time.Duration
-	// Limit is what it takes from all processes together, for as long as it says so.
+	// Limit is what the endpoint accepts from all processes together. It holds as long as
+	// the endpoint repeats it.
 	Limit RequestLimit
 }
 
-// RequestLimit bounds the requests to an endpoint.
+// RequestLimit limits the rate of requests to an endpoint.
 type RequestLimit struct {
 	// Named says that there is a limit.
 	Named     bool
 	PerSecond float64
 }
 
-// Notice takes what an endpoint says of itself.
+// Notice processes an endpoint's announcement.
 //
-// A worker leaves while the store is down, so that its entry goes
-// on saying that it is ready. It shows as requests that come to it for seconds and end with
-// it. The guard holds because its own word counts from the answer on, for its incarnation,
-// whatever is published.
+// An announced shutdown takes effect at once for that incarnation, whatever is published.
+// During an outage of the store a leaving endpoint stays published as ready, and would
+// otherwise get requests for seconds that are lost when it exits.
 func (r *Router) Notice(e *Endpoint, n Notice) {
 	now := time.Now()
 	if n.Quiet > 0 {
 		r.metrics.Add("endpoints_quiet", 1)
-		r.loads.Quiet(now, e.ID, n.Quiet)
+		r.loads.RecordBackoff(now, e.ID, n.Quiet)
 	}
 	r.noticeLimit(now, e, n)
-	if n.Leaving && r.leaves(now, e.ID) {
+	if n.Leaving && r.markLeaving(now, e.ID) {
 		r.log.Emit(event.EndpointLeaving, zap.String("endpoint", e.ID))
 	}
 }
 
-// noticeLimit records the limit that an endpoint names, or that it names none any more.
+// noticeLimit records an endpoint's announced limit, or that it no longer has one.
 func (r *Router) noticeLimit(now time.Time, e *Endpoint, n Notice) {
 	s := quota.Statement{Endpoint: quota.EndpointID(e.ID), Named: n.Limit.Named, PerSecond: n.Limit.PerSecond}
 	if r.quotas.State(now, n.Asked, s) {
@@ -58,8 +58,9 @@
 	}
 }
 
-// leaves takes an endpoint out of the directory; it returns false if that was done before.
-func (r *Router) leaves(now time.Time, id string) bool {
+// markLeaving removes an endpoint from the directory. It returns false if it was removed
+// before.
+func (r *Router) markLeaving(now time.Time, id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, known := r.leaving[id]
@@ -71,9 +72,9 @@
 	return !known
 }
 
-// staying returns a directory without the endpoints that said that they leave; r.mu is
-// held.
-func (r *Router) staying(now time.Time, d *Directory) *Directory {
+// withoutLeaving returns a copy of the directory without the leaving endpoints; r.mu must
+// be held.
+func (r *Router) withoutLeaving(now time.Time, d *Directory) *Directory {
 	if len(r.leaving) == 0 {
 		return d
 	}
@@ -85,7 +86,7 @@
 		}
 	}
 	for id, at := range r.leaving {
-		if now.Sub(at) > leavingMemory {
+		if now.Sub(at) > leavingTTL {
 			delete(r.leaving, id)
 		}
 	}
--- a/router/others.go
+++ b/router/others.go
@@ -2,125 +2,129 @@
 
 import "time"
 
-// remoteLife is how long another entry's word about its work counts. Entries
-// repeat theirs several times in that time.
-const remoteLife = 2 * time.Second
+// reportTTL is how long a report of another entry's work is valid. Entries repeat their
+// reports several times in that time.
+const reportTTL = 2 * time.Second
 
-// others is what other processes last said of their work. It is not safe for
-// concurrent use.
+// peerLoads holds the last reports of the other entries. It is not safe for concurrent
+// use.
 //
-// Hundreds of entries before hundreds of engines. Each look
-// for room asks for the work of all entries at each engine, and a generation that
-// waits looks each roomPause. So the sums are kept, and a look costs what there are
-// engines, not engines times entries (BenchmarkLook).
-type others struct {
-	said map[string]report
-	// sums is the work of all together, by endpoint.
+// It keeps sums over all reports, so that the cost of a placement depends on the number
+// of engines only, not on engines times entries (BenchmarkView). With hundreds of entries
+// and engines this matters because each placement needs the work of all entries at each
+// engine, and a waiting generation retries its placement each roomPollInterval.
+type peerLoads struct {
+	reports map[string]peerReport
+	// sums is the work of all other entries, by endpoint.
 	sums map[string]Load
-	// failures is how many attempts lately failed at an endpoint, of all together.
+	// failures is the decayed number of recent failed attempts of all other entries, by
+	// endpoint.
 	failures map[string]float64
-	// lapse is when the first of them may be too old.
-	lapse time.Time
+	// nextExpiry is the earliest time at which a report may expire.
+	nextExpiry time.Time
 }
 
-// report is the last word of one process.
-type report struct {
+// peerReport is the last report of one process.
+type peerReport struct {
 	loads    map[string]Load
 	demand   map[string]Demand
 	failures map[string]float64
 	at       time.Time
 }
 
-func newOthers() others {
-	return others{said: make(map[string]report), sums: make(map[string]Load), failures: make(map[string]float64)}
+func newPeerLoads() peerLoads {
+	return peerLoads{reports: make(map[string]peerReport), sums: make(map[string]Load), failures: make(map[string]float64)}
 }
 
-// hear replaces the last word of a process.
-func (o *others) hear(now time.Time, process string, loads map[string]Load, demand map[string]Demand) {
-	failures := o.said[process].failures
-	o.forget(process)
-	o.said[process] = report{loads: loads, demand: demand, at: now}
-	o.hearFailures(process, failures)
+// setReport replaces the report of a process.
+func (o *peerLoads) setReport(now time.Time, process string, loads map[string]Load, demand map[string]Demand) {
+	failures := o.reports[process].failures
+	o.remove(process)
+	o.reports[process] = peerReport{loads: loads, demand: demand, at: now}
+	o.setFailures(process, failures)
 	for endpoint, w := range loads {
 		o.sums[endpoint] = o.sums[endpoint].add(w)
 	}
-	if len(o.said) == 1 {
-		o.lapse = now.Add(remoteLife)
+	if len(o.reports) == 1 {
+		o.nextExpiry = now.Add(reportTTL)
 	}
 }
 
-// hearFailures replaces what a process that was heard says of failures.
-func (o *others) hearFailures(process string, failures map[string]float64) {
-	r, heard := o.said[process]
-	if !heard {
+// setFailures replaces the reported failures of a process. It does nothing if the process
+// has no valid report.
+func (o *peerLoads) setFailures(process string, failures map[string]float64) {
+	r, ok := o.reports[process]
+	if !ok {
 		return
 	}
-	o.forgetFailures(r)
+	o.subtractFailures(r)
 	for endpoint, n := range failures {
 		o.failures[endpoint] += n
 	}
 	r.failures = failures
-	o.said[process] = r
+	o.reports[process] = r
 }
 
-// forgetFailures takes failures out of the sums. What rounding leaves is nothing.
-func (o *others) forgetFailures(r report) {
-	const nothing = 1e-6
+// subtractFailures subtracts a report's failures from the sums. Remainders below rounding
+// accuracy count as zero.
+func (o *peerLoads) subtractFailures(r peerReport) {
+	const epsilon = 1e-6
 	for endpoint, n := range r.failures {
 		o.failures[endpoint] -= n
-		if o.failures[endpoint] < nothing {
+		if o.failures[endpoint] < epsilon {
 			delete(o.failures, endpoint)
 		}
 	}
 }
 
-// failed returns how many attempts of others lately failed at an endpoint.
-func (o *others) failed(now time.Time, endpoint string) float64 {
+// failuresAt returns the number of recent failed attempts of other entries at an
+// endpoint.
+func (o *peerLoads) failuresAt(now time.Time, endpoint string) float64 {
 	o.expire(now)
 	return o.failures[endpoint]
 }
 
-// forget takes the word of a process out of the sums.
-func (o *others) forget(process string) {
-	o.forgetFailures(o.said[process])
-	for endpoint, w := range o.said[process].loads {
-		sum := o.sums[endpoint].add(w.negative())
-		if sum.zero() {
+// remove drops the report of a process and subtracts it from the sums.
+func (o *peerLoads) remove(process string) {
+	o.subtractFailures(o.reports[process])
+	for endpoint, w := range o.reports[process].loads {
+		sum := o.sums[endpoint].add(w.negated())
+		if sum.isZero() {
 			delete(o.sums, endpoint)
 			continue
 		}
 		o.sums[endpoint] = sum
 	}
-	delete(o.said, process)
+	delete(o.reports, process)
 }
 
-// expire forgets those that said nothing for remoteLife.
-func (o *others) expire(now time.Time) {
-	if !now.After(o.lapse) {
+// expire removes the reports older than reportTTL.
+func (o *peerLoads) expire(now time.Time) {
+	if !now.After(o.nextExpiry) {
 		return
 	}
-	o.lapse = now.Add(remoteLife)
-	for process, r := range o.said {
-		until := r.at.Add(remoteLife)
+	o.nextExpiry = now.Add(reportTTL)
+	for process, r := range o.reports {
+		until := r.at.Add(reportTTL)
 		switch {
 		case now.After(until):
-			o.forget(process)
-		case until.Before(o.lapse):
-			o.lapse = until
+			o.remove(process)
+		case until.Before(o.nextExpiry):
+			o.nextExpiry = until
 		}
 	}
 }
 
-// work returns the work of all others at an endpoint.
-func (o *others) work(now time.Time, endpoint string) Load {
+// loadAt returns the work of all other entries at an endpoint.
+func (o *peerLoads) loadAt(now time.Time, endpoint string) Load {
 	o.expire(now)
 	return o.sums[endpoint]
 }
 
-// demand returns what comes to all others for a service.
-func (o *others) demand(now time.Time, service string) (sum Demand) {
+// demand returns the demand for a service that reaches all other entries.
+func (o *peerLoads) demand(now time.Time, service string) (sum Demand) {
 	o.expire(now)
-	for _, r := range o.said {
+	for _, r := range o.reports {
 		sum = sum.add(r.demand[service])
 	}
 	return sum
--- a/router/others_test.go
+++ b/router/others_test.go
@@ -12,8 +12,9 @@
 	"ebonypulley/router"
 )
 
-// heardFrom returns loads that some other entries told of, each of ten engines.
-func heardFrom(others, engines int) *router.Loads {
+// loadsWithPeers returns loads with the reports of some other entries, each about ten
+// engines.
+func loadsWithPeers(others, engines int) *router.Loads {
 	l := router.NewLoads()
 	now := time.Now()
 	for i := range others {
@@ -28,8 +29,8 @@
 
 const manyEngines = 120
 
-// look asks for the work at each engine, as one look for room does.
-func look(l *router.Loads, ids []string) (kv int) {
+// viewAll views each engine, as one placement does.
+func viewAll(l *router.Loads, ids []string) (kv int) {
 	now := time.Now()
 	for _, id := range ids {
 		kv += l.View(now, id).KV
@@ -45,33 +46,34 @@
 	return ids
 }
 
-// BenchmarkLook measures a look at 120 engines beside 3 and 67 other entries.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkView measures the views of 120 engines with the reports of 3 and 67 other
+// entries.
+func BenchmarkView(b *testing.B) {
 	ids := engineIDs()
 	for _, others := range []int{3, 67} {
 		b.Run(strconv.Itoa(others), func(b *testing.B) {
-			l := heardFrom(others, manyEngines)
+			l := loadsWithPeers(others, manyEngines)
 			for range b.N {
-				look(l, ids)
+				viewAll(l, ids)
 			}
 		})
 	}
 }
 
-// TestLooksDoNotGrowWithEntries: in a burst on a fleet of 68 entries, drafts that
-// wait for room keep the processor of the smallest entries busy with looking, and
-// everything else there is late. Each look asked for the work of each other entry at
-// each engine, so that it took a dozen times as long as in a fleet of four.
+// TestViewCostIndependentOfPeers: in a burst in a fleet of 68 entries, waiting
+// generations kept the CPU of the smallest entries busy with placements, and everything
+// else there was late. Each placement summed the work of each other entry at each engine,
+// and took a dozen times as long as in a fleet of four.
 //
-// A look at 120 engines took 0.207 ms of a core beside 67 others, 0.016 beside 3.
-func TestLooksDoNotGrowWithEntries(t *testing.T) {
+// Viewing 120 engines took 0.207 ms of CPU time with 67 other entries, 0.016 ms with 3.
+func TestViewCostIndependentOfPeers(t *testing.T) {
 	ids := engineIDs()
 	least := func(others int) time.Duration {
-		l := heardFrom(others, manyEngines)
+		l := loadsWithPeers(others, manyEngines)
 		best := time.Hour
 		for range 200 {
 			began := time.Now()
-			look(l, ids)
+			viewAll(l, ids)
 			best = min(best, time.Since(began))
 		}
 		return best
@@ -81,9 +83,9 @@
 	assert.Less(t, many, 4*few)
 }
 
-// TestOthersSumsFollowTheirWords: the work of others is what each last said, and
-// nothing of those that fell silent, whatever is asked between.
-func TestOthersSumsFollowTheirWords(t *testing.T) {
+// TestPeerSumsFollowReports: the load of other entries must equal the sum of their last
+// valid reports, regardless of the order of reports, expiries and views.
+func TestPeerSumsFollowReports(t *testing.T) {
 	l := router.NewLoads()
 	now := time.Unix(1000, 0)
 	say := func(d time.Duration, from string, kv int) {
@@ -95,7 +97,7 @@
 	assert.Equal(t, 110, kv(time.Second))
 	say(1500*time.Millisecond, "b", 20)
 	assert.Equal(t, 120, kv(2*time.Second))
-	assert.Equal(t, 20, kv(2100*time.Millisecond), "a is silent for longer than its word counts")
+	assert.Equal(t, 20, kv(2100*time.Millisecond), "the report of a has expired")
 	assert.Equal(t, 20, kv(3500*time.Millisecond))
 	assert.Zero(t, kv(3600*time.Millisecond))
 	say(4*time.Second, "a", 7)
@@ -104,17 +106,17 @@
 	assert.Zero(t, kv(5*time.Second))
 }
 
-// TestFailuresAreKnownToAll: for seconds drafts are lost at one engine of ten that
-// answers every question whether it lives. Each of forty entries finds out by itself,
-// at the cost of a draft, and meets the engine so seldom that it forgets in between.
-// What one entry saw fail, all shun while it is fresh; once it is old, one of them
-// tries the engine again.
+// TestFailuresAreShared: for some seconds one of ten engines loses generations although
+// it answers all probes. Each of forty entries would find out by itself, at the cost of a
+// generation, and use the engine so rarely that its record decays in between. A failure
+// seen by one entry must make all of them avoid the engine while it is recent; later one
+// of them tries it again.
 //
-// In eight seconds 681 drafts of 2,500 were tried again on a day on which 13 of 120
-// engines reset their connections.
-func TestFailuresAreKnownToAll(t *testing.T) {
+// On a day on which 13 of 120 engines reset their connections, 681 of 2,500 generations
+// within eight seconds needed another attempt.
+func TestFailuresAreShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const entries, drafts = 40, 300
+		const entries, generations = 40, 300
 		lost := 0
 		f := &fakeEndpoints{generate: func(e *router.Endpoint, _ router.Start) error {
 			if e.ID == "d0" {
@@ -132,22 +134,22 @@
 			all = append(all, newRouter(f, list...))
 		}
 		var wg sync.WaitGroup
-		for i := range drafts {
+		for i := range generations {
 			r := all[i%entries]
-			wg.Go(func() { _, _ = r.Generate(t.Context(), newCall(draftRoute, llm), new(fakeSink)) })
+			wg.Go(func() { _, _ = r.Generate(t.Context(), newCall(resumableRoute, llm), new(fakeSink)) })
 			time.Sleep(20 * time.Millisecond)
 			if i%10 == 9 {
-				tellAll(all)
+				exchangeReports(all)
 			}
 		}
 		wg.Wait()
 		assert.Positive(t, lost)
-		assert.LessOrEqual(t, lost, drafts/10/3, "a third of what would come there")
+		assert.LessOrEqual(t, lost, generations/10/3, "a third of the generations that would be sent there")
 	})
 }
 
-// tellAll lets each router tell the others what it knows.
-func tellAll(all []*router.Router) {
+// exchangeReports delivers the reports of each router to all others.
+func exchangeReports(all []*router.Router) {
 	now := time.Now()
 	for i, from := range all {
 		work, _ := from.Loads().Own()
@@ -160,14 +162,14 @@
 	}
 }
 
-// TestOutageIsToldInFew: every engine of a large fleet fails at once, and what each
-// entry tells all others of it fills their links.
-func TestOutageIsToldInFew(t *testing.T) {
+// TestAvoidedListIsBounded: when every engine of a large fleet fails at once, the reports
+// about them must not saturate the links between entries.
+func TestAvoidedListIsBounded(t *testing.T) {
 	l := router.NewLoads()
 	now := time.Unix(1000, 0)
 	for i := range 500 {
-		l.Failed(now.Add(time.Duration(i)*time.Millisecond), "engine-"+strconv.Itoa(i))
-		l.Silent(now.Add(time.Duration(i)*time.Millisecond), "other-"+strconv.Itoa(i))
+		l.RecordFailure(now.Add(time.Duration(i)*time.Millisecond), "engine-"+strconv.Itoa(i))
+		l.RecordUnresponsive(now.Add(time.Duration(i)*time.Millisecond), "other-"+strconv.Itoa(i))
 	}
 	told := l.Avoided(now.Add(500 * time.Millisecond))
 	assert.Len(t, told, 32)
--- a/router/permit.go
+++ b/router/permit.go
@@ -8,61 +8,64 @@
 	"ebonypulley/quota"
 )
 
-// permit is the right to send one request to an endpoint within the limit that it names.
+// permit is the right to send one request to an endpoint within its announced limit.
 type permit struct {
 	quotas *quota.Ledger
 	id     quota.ID
-	// open says that it is counted and neither used nor returned.
-	open bool
+	// unsettled says that the request is counted, and the permit neither used nor
+	// returned.
+	unsettled bool
 }
 
-// permit asks for a request to an endpoint. If the endpoint is at its limit, wait is how long
-// until it surely takes one.
+// permit counts one request to an endpoint. If the endpoint is at its limit, permit
+// returns nil and how long until it certainly accepts one.
 //
-// An endpoint in need names a limit for all entries together, and each of them keeps to it
-// by itself. It shows as an endpoint that gets a multiple of what it takes. The guard holds
-// because entries count what all of them send.
+// An overloaded endpoint announces one limit for all entries together. The quota ledger
+// counts what all entries send; if each entry applied the limit by itself, the endpoint
+// would get a multiple of it.
 func (r *Router) permit(now time.Time, e *Endpoint) (p *permit, wait time.Duration) {
 	id := quota.EndpointID(e.ID)
 	v := r.quotas.Take(now, id, 1)
 	if !v.OK {
 		r.metrics.Add("endpoint_limits_met", 1)
-		return nil, max(v.Wait, roomPause)
+		return nil, max(v.Wait, roomPollInterval)
 	}
-	return &permit{quotas: r.quotas, id: id, open: v.Counted}, 0
+	return &permit{quotas: r.quotas, id: id, unsettled: v.Counted}, 0
 }
 
-// atLimit holds endpoints that take no request within the limit that they name, with until when.
-type atLimit map[string]time.Time
+// limitedUntil holds the endpoints at their announced limit, with the time until which
+// they accept no request.
+type limitedUntil map[string]time.Time
 
-// closedLeft is how long all endpoints of a service and role still take nothing, because they
-// said so or are at their limits; zero if one takes work.
-func (r *Router) closedLeft(now time.Time, service string, role Role, limited atLimit) time.Duration {
-	var least time.Duration
+// unavailableFor returns how long no endpoint of a service and role accepts work, because
+// each is backing off or at its limit. It is zero if one of them accepts work.
+func (r *Router) unavailableFor(now time.Time, service string, role Role, limited limitedUntil) time.Duration {
+	var minLeft time.Duration
 	for _, e := range r.Directory().Endpoints(service, role) {
-		left := max(r.loads.quietLeft(now, e.ID), limited[e.ID].Sub(now))
+		left := max(r.loads.backoffLeft(now, e.ID), limited[e.ID].Sub(now))
 		if left <= 0 {
 			return 0
 		}
-		if least == 0 || left < least {
-			least = left
+		if minLeft == 0 || left < minLeft {
+			minLeft = left
 		}
 	}
-	return least
+	return minLeft
 }
 
-// sent uses the permit, unless an attempt that ended with err did not reach the endpoint.
-func (p *permit) sent(err error) {
+// markSent uses the permit, unless an attempt that ended with err did not reach the
+// endpoint.
+func (p *permit) markSent(err error) {
 	if p != nil && !errorx.IsOfType(err, ErrUnreachable) {
-		p.open = false
+		p.unsettled = false
 	}
 }
 
-// end returns a permit that was not used; it may be nil.
-func (p *permit) end(now time.Time) {
-	if p == nil || !p.open {
+// release returns an unused permit; p may be nil.
+func (p *permit) release(now time.Time) {
+	if p == nil || !p.unsettled {
 		return
 	}
-	p.open = false
+	p.unsettled = false
 	p.quotas.Return(now, p.id, 1)
 }
