--- a/router/place.go
+++ b/router/place.go
@@ -7,59 +7,60 @@
 	"ebonypulley/estimate"
 )
 
-// Weights of the choice of a way. What a way takes is learned (estimate); these
-// say how much else it may cost, as parts of the route's target, so that they
-// fit engines of any speed.
+// Terms of the placement cost besides time. Expected times are learned by package
+// estimate. These terms are fractions of the route's latency target, so that they suit
+// engines of any speed.
 const (
-	// farShare is what a move between data centres costs beyond its time: it
-	// loads the links between them.
-	farShare = 0.033
-	// lateShare is what one stream costs whose pause is too long: it is then
-	// late as a whole.
-	lateShare = 0.33
-	// failPromptShare is what a certain failure costs: a prompt computed once
-	// more, and a first event that is probably late.
-	failPromptShare = 0.67
-	// disturbShare is the part of the time that a prompt takes at a decode
-	// engine which each stream there loses; a few times more or less decide the same.
-	disturbShare = 0.2
-	// crowdEvents is over how many of its events a stream that is added slows
-	// the others down: only the order of crowded engines matters, see
+	// remoteDCFraction is the cost of a KV transfer between data centres in addition to
+	// its duration, for its load on the links between them.
+	remoteDCFraction = 0.033
+	// lateStreamFraction is the cost of each stream whose gap between events exceeds its
+	// objective. The stream counts as late as a whole.
+	lateStreamFraction = 0.33
+	// failureFraction is the cost of a certain failure: the prompt is computed once more,
+	// and the first event is probably late.
+	failureFraction = 0.67
+	// interferenceFraction is the fraction of a local prefill's duration that each stream
+	// at the decode engine loses. Values a few times higher or lower lead to the same
+	// decisions.
+	interferenceFraction = 0.2
+	// batchDelayEvents is the number of events over which the delay is counted that one
+	// more stream causes the others. Only the order of loaded engines matters, see
 	// docs/POLICY.md.
-	crowdEvents = 4
-	// evenShare is what a stream costs at least, as a part of the pause between
-	// two events, so that streams spread before any crowd was observed.
-	evenShare = 0.02
-	// gapMargin is the part of the longest pause allowed that is left for the
-	// way to the caller.
+	batchDelayEvents = 4
+	// minStreamFraction is the minimum cost of each stream, as a fraction of the gap
+	// between events. It spreads streams before any batch delay was observed.
+	minStreamFraction = 0.02
+	// gapMargin is the fraction of the gap objective reserved for the network path to the
+	// caller.
 	gapMargin = 0.05
-	// fullFill is the part of an engine's memory that may be in use when a
-	// generation starts; the rest is lost where parts are rounded up to blocks.
-	fullFill = 0.98
-	// headroomAnswers is how many answers' tokens are left free besides. Streams
-	// generate one answer's tokens together until the next of them ends, however
-	// many there are; twice that is left.
+	// maxFill is the fraction of an engine's memory that may be in use when a generation
+	// starts. The rest is lost to rounding up to cache blocks.
+	maxFill = 0.98
+	// headroomAnswers is the additional free memory, in answers. However many streams
+	// there are, they generate about one answer's tokens together until the next of them
+	// ends; twice that is kept free.
 	headroomAnswers = 2
 )
 
-// placement is the way of one generation.
+// placement is the choice of engines for one generation.
 type placement struct {
-	// prefill is nil if the decode endpoint computes the prompt itself.
+	// prefill is nil if the decode endpoint prefills the prompt itself.
 	prefill *Endpoint
 	decode  *Endpoint
-	// prompt is the estimated time of the prefill, first that to the first
-	// event.
-	prompt, first estimate.Time
-	// fill is the part of the decode endpoint's memory in use with the call.
+	// prefillTime is the estimated duration of the prefill, firstEvent the estimated time
+	// to the first event.
+	prefillTime, firstEvent estimate.Time
+	// fill is the fraction of the decode endpoint's memory in use, including the call.
 	fill float64
-	// ahead are the prompt tokens that wait where the prompt is computed.
-	ahead int
-	// warm says that the decode endpoint probably caches the prompt.
+	// queuedTokens is the number of prompt tokens queued where the prompt is prefilled.
+	queuedTokens int
+	// warm says that the decode endpoint probably has the prompt in its cache.
 	warm bool
 }
 
-// prefillID names the prefill endpoint; empty if the decode endpoint computes
-// the prompt itself or has it.
+// prefillID returns the ID of the prefill endpoint, or "" if the decode endpoint prefills
+// the prompt itself or has it cached.
 func (p placement) prefillID() string {
 	if p.prefill == nil {
 		return ""
@@ -67,32 +68,33 @@
 	return p.prefill.ID
 }
 
-// options restrict a choice.
-type options struct {
-	// tried endpoints are left out.
+// placeOptions constrain a placement.
+type placeOptions struct {
+	// tried holds the endpoints to exclude.
 	tried map[string]bool
-	// limited endpoints are left out until a time.
-	limited atLimit
-	// kept is a result that only needs a decode endpoint; or nil.
+	// limited holds endpoints to exclude until a given time.
+	limited limitedUntil
+	// kept is a prefill result that only needs a decode endpoint, or nil.
 	kept *Result
-	// warm is an engine that probably still caches the prompt; or nil.
+	// warm is an engine that probably still caches the prompt, or nil.
 	warm *Endpoint
-	// fill is the part of an engine's memory that may be in use with the call.
+	// fill is the maximum fraction of an engine's memory in use, including the call.
 	fill float64
 }
 
-// growthEvents is how many events of an answer are reckoned with from its start.
+// growthEvents is the number of events of an answer whose memory is accounted from the
+// start.
 const growthEvents = 6
 
-// need is the memory in tokens that a call takes at a decode endpoint when it
-// starts: its prompt and its first events.
+// initialTokens returns the memory in tokens that the call is accounted with when it
+// starts at a decode endpoint: its prompt and its first events.
 //
-// What it generates is added as it comes. To reckon with the whole answer from
-// the start would leave a fifth of the memory unused: answers are short of
-// what callers allow, and while they grow, others end and make room.
-func (c *Call) need() int { return c.Prompt + min(c.Output, growthEvents*c.stride()) }
+// The rest is added as it is generated. Accounting for the maximum answer from the start
+// would leave a fifth of the memory unused: answers are shorter than the maximum that
+// callers allow, and others end while they grow.
+func (c *Call) initialTokens() int { return c.Prompt + min(c.Output, growthEvents*c.stride()) }
 
-// stride is the number of tokens in one event.
+// stride returns the number of tokens per stream event.
 func (c *Call) stride() int {
 	if e := c.Service.Engine; e != nil && e.Stride > 0 {
 		return e.Stride
@@ -100,47 +102,46 @@
 	return 1
 }
 
-// side is an endpoint with its state and its part of a way's cost.
-type side struct {
+// candidate is an endpoint with its state and its own cost.
+type candidate struct {
 	e    *Endpoint
 	view View
 	cost time.Duration
 }
 
-// choice is what one choice of a way knows.
-type choice struct {
-	c       *Call
-	m       estimate.Engines
-	promise estimate.Promise
+// placer computes the costs of placements for one call.
+type placer struct {
+	call  *Call
+	model estimate.Engines
+	slo   estimate.Promise
 }
 
-// place returns the way with the least expected time to the first event, or
-// false if no decode endpoint has room. A kept result only needs a decode
-// endpoint; a warm engine has the prompt from an attempt before.
+// place returns the placement with the lowest expected time to the first event, or false
+// if no decode endpoint has room. A kept result only needs a decode endpoint; a warm
+// engine has the prompt cached from an earlier attempt.
 //
-// Bursts of long prompts from several entries at once.
-// Work under way of all entries is counted at each engine, so that a burst
-// spreads over all engines of both stages; an engine without room gets
-// nothing, because its refusal would waste the prefill.
-func (r *Router) place(now time.Time, c *Call, o options) (placement, bool) {
+// It accounts for the work in progress of all entries at each engine, so that a burst of
+// long prompts at several entries spreads over all engines of both stages. An engine
+// without room gets nothing, because its refusal would waste the prefill.
+func (r *Router) place(now time.Time, c *Call, o placeOptions) (placement, bool) {
 	d := r.Directory()
-	ch := choice{c: c, m: r.loads.Engines(c.Service), promise: c.promise()}
-	decodes := r.some(ch.roomy(ch.sides(r.views(now, d.Endpoints(c.Service.Name, Decode), o)), o.fill), c.Content, o.warm)
+	pl := placer{call: c, model: r.loads.Engines(c.Service), slo: c.slo()}
+	decodes := r.sample(pl.withRoom(pl.addCosts(r.candidates(now, d.Endpoints(c.Service.Name, Decode), o)), o.fill), c.Content, o.warm)
 	if len(decodes) == 0 {
 		return placement{}, false
 	}
-	var prefills []side
+	var prefills []candidate
 	if o.kept == nil {
-		prefills = r.some(answering(ch.sides(r.views(now, d.Endpoints(c.Service.Name, Prefill), o))), 0, nil)
+		prefills = r.sample(responsive(pl.addCosts(r.candidates(now, d.Endpoints(c.Service.Name, Prefill), o))), 0, nil)
 	}
-	var best way
+	var best scoredPlacement
 	for i := range decodes {
 		dec := &decodes[i]
 		if o.warm != nil && o.warm.ID == dec.e.ID {
-			best = way{placement: placement{decode: dec.e, first: ch.m.Handoff(false, ch.promise), fill: dec.fill(c), warm: true}}
+			best = scoredPlacement{placement: placement{decode: dec.e, firstEvent: pl.model.Handoff(false, pl.slo), fill: dec.fill(c), warm: true}}
 			break
 		}
-		w := ch.cheapest(dec, prefills, o.kept)
+		w := pl.best(dec, prefills, o.kept)
 		if best.decode == nil || w.cost < best.cost {
 			best = w
 		}
@@ -148,203 +149,201 @@
 	return best.placement, true
 }
 
-// way is a placement with its cost.
-type way struct {
+// scoredPlacement is a placement with its cost.
+type scoredPlacement struct {
 	placement
 	cost time.Duration
 }
 
-// cheapest returns the best way that ends at a decode endpoint.
-func (ch *choice) cheapest(dec *side, prefills []side, kept *Result) way {
+// best returns the cheapest placement that decodes at dec.
+func (pl *placer) best(dec *candidate, prefills []candidate, kept *Result) scoredPlacement {
 	if kept != nil {
-		handoff, cost := ch.move(kept.Endpoint, dec)
-		return way{placement{decode: dec.e, first: handoff, fill: dec.fill(ch.c)}, cost + dec.cost}
+		handoff, cost := pl.transfer(kept.Endpoint, dec)
+		return scoredPlacement{placement{decode: dec.e, firstEvent: handoff, fill: dec.fill(pl.call)}, cost + dec.cost}
 	}
-	alone := ch.alone(dec.view)
-	best := way{placement{decode: dec.e, first: alone, fill: dec.fill(ch.c), ahead: dec.view.Prefill}, alone.Mean + dec.cost + ch.disturbance(dec.view, alone.Mean)}
+	local := pl.localPrefill(dec.view)
+	best := scoredPlacement{placement{decode: dec.e, firstEvent: local, fill: dec.fill(pl.call), queuedTokens: dec.view.Prefill}, local.Mean + dec.cost + pl.interference(dec.view, local.Mean)}
 	for i := range prefills {
 		pre := &prefills[i]
-		handoff, cost := ch.move(pre.e, dec)
-		prompt := ch.prompt(pre.view)
+		handoff, cost := pl.transfer(pre.e, dec)
+		prompt := pl.prefillTime(pre.view)
 		cost += prompt.Mean + dec.cost + pre.cost
 		if cost < best.cost {
-			best = way{placement{prefill: pre.e, decode: dec.e, prompt: prompt, first: prompt.Plus(handoff), fill: dec.fill(ch.c), ahead: pre.view.Prefill}, cost}
+			best = scoredPlacement{placement{prefill: pre.e, decode: dec.e, prefillTime: prompt, firstEvent: prompt.Plus(handoff), fill: dec.fill(pl.call), queuedTokens: pre.view.Prefill}, cost}
 		}
 	}
 	return best
 }
 
-// prompt returns the time of the call's prefill behind those already waiting.
-func (ch *choice) prompt(v View) estimate.Time {
-	return ch.m.Prompt(v.Prefill+ch.c.Prompt, ch.c.Prompt, ch.promise).Times(v.Slow)
+// prefillTime estimates the duration of the call's prefill, including those queued before
+// it.
+func (pl *placer) prefillTime(v View) estimate.Time {
+	return pl.model.Prompt(v.Prefill+pl.call.Prompt, pl.call.Prompt, pl.slo).Times(v.Slowdown)
 }
 
-// alone returns the time to the first event at an engine that computes the
+// localPrefill estimates the time to the first event at a decode engine that prefills the
 // prompt itself.
-func (ch *choice) alone(v View) estimate.Time {
-	return ch.m.Alone(v.Prefill+ch.c.Prompt, ch.c.Prompt, ch.promise).Times(v.Pace)
+func (pl *placer) localPrefill(v View) estimate.Time {
+	return pl.model.Alone(v.Prefill+pl.call.Prompt, pl.call.Prompt, pl.slo).Times(v.StepSlowdown)
 }
 
-// move returns the time from a computed prompt to the first event elsewhere,
-// and what it costs.
-func (ch *choice) move(from *Endpoint, to *side) (estimate.Time, time.Duration) {
+// transfer estimates the time from a finished prefill at one engine to the first event at
+// another, and the cost of that transfer.
+func (pl *placer) transfer(from *Endpoint, to *candidate) (estimate.Time, time.Duration) {
 	far := from.DataCentre != to.e.DataCentre
-	handoff := ch.m.Handoff(far, ch.promise)
+	handoff := pl.model.Handoff(far, pl.slo)
 	cost := handoff.Mean
 	if far {
-		cost += ch.share(farShare)
+		cost += pl.targetFraction(remoteDCFraction)
 	}
 	return handoff, cost
 }
 
-// share returns a part of the route's target.
-func (ch *choice) share(part float64) time.Duration {
-	return time.Duration(part * float64(ch.promise.Target))
+// targetFraction returns a fraction of the route's latency target.
+func (pl *placer) targetFraction(part float64) time.Duration {
+	return time.Duration(part * float64(pl.slo.Target))
 }
 
-// someOf is the number of engines of a stage that one choice looks at.
-const someOf = 8
+// sampleSize is the number of engines of a stage that one placement compares.
+const sampleSize = 8
 
-// some returns a few of the engines, the first that are drawn for a content or any without one,
-// and the one that is wanted in any case if it is there.
+// sample returns a few of the engines. They are the first in the rendezvous order of the
+// content hash, or random ones if that is unknown. The wanted engine is included if it is
+// in the list.
 //
-// Many entries wait for room in a burst, and what they
-// know of each other is a tenth of a second old. When an engine has room again,
-// all see it at once and a dozen send their prompts there in the same 60 ms. The
-// best of a few drawn by chance is nearly as good, and differs between callers.
-func (r *Router) some(list []side, content uint64, wanted *Endpoint) []side {
-	if len(list) <= someOf {
+// In a burst, entries wait for room and know each other's load only as of a tenth of a
+// second ago. When an engine has room again all of them see it at once, and a dozen would
+// send their prompts there within 60 ms. The best of a few random engines is nearly as
+// good and differs between callers.
+func (r *Router) sample(list []candidate, content uint64, wanted *Endpoint) []candidate {
+	if len(list) <= sampleSize {
 		return list
 	}
-	place := 0
+	fixed := 0
 	if wanted != nil {
-		if i := slices.IndexFunc(list, func(s side) bool { return s.e.ID == wanted.ID }); i >= 0 {
+		if i := slices.IndexFunc(list, func(s candidate) bool { return s.e.ID == wanted.ID }); i >= 0 {
 			list[0], list[i] = list[i], list[0]
-			place = 1
+			fixed = 1
 		}
 	}
 	if content != 0 {
-		return append(list[:place:place], firstDrawn(content, list[place:], someOf-place)...)
+		return append(list[:fixed:fixed], firstByHash(content, list[fixed:], sampleSize-fixed)...)
 	}
-	for i := place; i < someOf; i++ {
+	for i := fixed; i < sampleSize; i++ {
 		j := i + r.random(len(list)-i)
 		list[i], list[j] = list[j], list[i]
 	}
-	return list[:someOf]
+	return list[:sampleSize]
 }
 
-// firstDrawn returns so many of the engines that are drawn first for a content.
-func firstDrawn(content uint64, list []side, n int) []side {
-	order := drawn(content, len(list), func(i int) string { return list[i].e.ID })
-	first := make([]side, 0, n)
+// firstByHash returns the first n engines in the rendezvous order of a content hash.
+func firstByHash(content uint64, list []candidate, n int) []candidate {
+	order := rendezvousOrder(content, len(list), func(i int) string { return list[i].e.ID })
+	first := make([]candidate, 0, n)
 	for _, i := range order[:n] {
 		first = append(first, list[i])
 	}
 	return first
 }
 
-// disturbance is what a prompt that a decode engine computes itself costs the
-// streams there.
+// interference is the cost of a local prefill for the streams at the same decode engine.
 //
-// Long prompts come while streams run. Each step waits
-// for a chunk of the prompt, so that an event takes five times as long; at an
-// engine that is slower than others that is too long, and all its streams are
-// late although none began late.
-func (ch *choice) disturbance(v View, alone time.Duration) time.Duration {
-	cost := time.Duration(float64(alone) * disturbShare)
-	if gap := ch.promise.Gap; gap > 0 && ch.stretchedPause(v, alone) > gap-time.Duration(gapMargin*float64(gap)) {
-		cost += ch.share(lateShare)
+// Each decode step then waits for a chunk of the prompt, so that an event takes five
+// times as long. At an engine slower than the others this exceeds the gap objective, and
+// all its streams are late although none of them began late.
+func (pl *placer) interference(v View, local time.Duration) time.Duration {
+	cost := time.Duration(float64(local) * interferenceFraction)
+	if gap := pl.slo.Gap; gap > 0 && pl.gapDuringPrefill(v, local) > gap-time.Duration(gapMargin*float64(gap)) {
+		cost += pl.targetFraction(lateStreamFraction)
 	}
 	return cost * time.Duration(v.Decodes)
 }
 
-// stretchedPause is the time between two events while the engine computes the
+// gapDuringPrefill estimates the gap between two events while the engine prefills the
 // call's prompt.
-func (ch *choice) stretchedPause(v View, alone time.Duration) time.Duration {
-	pause := ch.m.Pause(v.Decodes, ch.promise).Mean + ch.m.Disturbance(alone)
-	return time.Duration(v.Pace * float64(pause))
+func (pl *placer) gapDuringPrefill(v View, local time.Duration) time.Duration {
+	gap := pl.model.Pause(v.Decodes, pl.slo).Mean + pl.model.Disturbance(local)
+	return time.Duration(v.StepSlowdown * float64(gap))
 }
 
-// fill is the part of the endpoint's memory in use with the call.
-func (s *side) fill(c *Call) float64 {
+// fill returns the fraction of the endpoint's memory in use, including the call.
+func (s *candidate) fill(c *Call) float64 {
 	if c.Service.Engine == nil {
 		return 0
 	}
-	return float64(s.view.KV+c.need()) / float64(max(c.Service.Engine.KVTokens, 1))
+	return float64(s.view.KV+c.initialTokens()) / float64(max(c.Service.Engine.KVTokens, 1))
 }
 
-// views returns the endpoints that take work with what is known of them.
-func (r *Router) views(now time.Time, list []*Endpoint, o options) []side {
+// candidates returns the endpoints that accept work, with their state.
+func (r *Router) candidates(now time.Time, list []*Endpoint, o placeOptions) []candidate {
 	if len(list) == 0 {
 		return nil
 	}
-	attempts := r.loads.attemptsEach(now, list[0].Service, len(list))
-	sides := make([]side, 0, len(list))
+	attempts := r.loads.attemptsPerEndpoint(now, list[0].Service, len(list))
+	sides := make([]candidate, 0, len(list))
 	for _, e := range list {
 		if o.tried[e.ID] || now.Before(o.limited[e.ID]) {
 			continue
 		}
 		v := r.loads.View(now, e.ID)
-		if v.Quiet {
+		if v.BackingOff {
 			continue
 		}
-		v.FailShare = max(v.FailShare, r.loads.failShare(now, e.ID, attempts))
-		sides = append(sides, side{e: e, view: v})
+		v.FailureRate = max(v.FailureRate, r.loads.peerFailureRate(now, e.ID, attempts))
+		sides = append(sides, candidate{e: e, view: v})
 	}
 	return sides
 }
 
-// sides adds the costs of the endpoints themselves.
-func (ch *choice) sides(list []side) []side {
+// addCosts sets the cost of each endpoint itself.
+func (pl *placer) addCosts(list []candidate) []candidate {
 	for i := range list {
 		v := &list[i].view
-		list[i].cost = time.Duration(v.Decodes)*ch.crowd() + time.Duration(v.FailShare*float64(ch.share(failPromptShare)))
-		if v.Avoid {
+		list[i].cost = time.Duration(v.Decodes)*pl.streamCost() + time.Duration(v.FailureRate*float64(pl.targetFraction(failureFraction)))
+		if v.Avoided {
 			list[i].cost += time.Duration(avoidCost)
 		}
 	}
 	return list
 }
 
-// crowd is what each stream at a decode engine costs one more.
-func (ch *choice) crowd() time.Duration {
-	even := time.Duration(evenShare * float64(ch.m.Pause(0, ch.promise).Mean))
-	return max(crowdEvents*ch.m.Crowd(), even)
+// streamCost is the cost of each stream already running at a decode engine.
+func (pl *placer) streamCost() time.Duration {
+	minCost := time.Duration(minStreamFraction * float64(pl.model.Pause(0, pl.slo).Mean))
+	return max(batchDelayEvents*pl.model.Crowd(), minCost)
 }
 
-// answering keeps the endpoints that answer, or all if none does.
+// responsive drops the endpoints that are being avoided, unless that leaves none.
 //
-// Engines crash in a burst. They lose their work, so that
-// they seem to have all the room that the others lack, and would draw each
-// prompt that is computed.
-func answering(list []side) []side {
-	if !slices.ContainsFunc(list, func(s side) bool { return !s.view.Avoid }) {
+// Engines that crashed have lost their work, so that in a burst they seem to have all the
+// room that the others lack and would attract each finished prefill.
+func responsive(list []candidate) []candidate {
+	if !slices.ContainsFunc(list, func(s candidate) bool { return !s.view.Avoided }) {
 		return list
 	}
-	return slices.DeleteFunc(list, func(s side) bool { return s.view.Avoid })
+	return slices.DeleteFunc(list, func(s candidate) bool { return s.view.Avoided })
 }
 
-// roomy keeps the answering decode endpoints with memory and a slot for the
-// call.
-func (ch *choice) roomy(list []side, fill float64) []side {
-	list = answering(list)
+// withRoom keeps the responsive decode endpoints with memory and a slot for the call.
+func (pl *placer) withRoom(list []candidate, fill float64) []candidate {
+	list = responsive(list)
 	kept := list[:0]
 	for _, s := range list {
-		if ch.hasRoom(s.view, fill) {
+		if pl.hasRoom(s.view, fill) {
 			kept = append(kept, s)
 		}
 	}
 	return kept
 }
 
-func (ch *choice) hasRoom(v View, fill float64) bool {
-	eng := ch.c.Service.Engine
+func (pl *placer) hasRoom(v View, fill float64) bool {
+	eng := pl.call.Service.Engine
 	if eng == nil {
 		return true
 	}
-	limit := min(int(float64(eng.KVTokens)*fill), eng.KVTokens-headroomAnswers*ch.m.Answer(ch.c.Output))
+	limit := min(int(float64(eng.KVTokens)*fill), eng.KVTokens-headroomAnswers*pl.model.Answer(pl.call.Output))
 	if v.Decodes == 0 {
 		limit = eng.KVTokens // nothing there grows but the call itself
 	}
-	return !v.Full && v.KV+ch.c.need() <= limit && v.Decodes < eng.Slots
+	return !v.Full && v.KV+pl.call.initialTokens() <= limit && v.Decodes < eng.Slots
 }
--- a/router/plain.go
+++ b/router/plain.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// maxUnreachable is how many endpoints without a connection one request
-	// meets before it is refused. None of them got anything of it, so they
-	// count neither as attempts nor against the budget.
+	// maxUnreachable is the number of unreachable endpoints after which a request is
+	// refused. They received nothing of the request, so they count neither as attempts nor
+	// against the retry budget.
 	maxUnreachable = 3
-	// firstShare is the part of the time left that a call which may be
-	// repeated gives one endpoint before it asks another.
-	firstShare = 0.5
-	// plainRetry and its spread are when a refused plain call may come back, in
-	// usual times of a call: a few places have become free then, and callers
-	// refused together do not return together.
-	plainRetry       = 1.7
-	plainRetrySpread = 3.3
+	// firstAttemptFraction is the fraction of the remaining time that an idempotent call
+	// gives its first endpoint before it tries another one.
+	firstAttemptFraction = 0.5
+	// plainRetryCalls and plainRetrySpreadCalls determine when a refused plain call may be
+	// retried, in expected call durations. A few slots are free by then, and callers
+	// refused together do not retry together.
+	plainRetryCalls       = 1.7
+	plainRetrySpreadCalls = 3.3
 )
 
-// plainRun is one plain call, over as many attempts as are safe.
+// plainRun is the processing of one plain call, over as many attempts as are safe.
 type plainRun struct {
-	r      *Router
-	c      *Call
-	tried  map[string]bool
-	sent   int
-	ran    bool    // an attempt may have run
-	failed *Answer // an endpoint's own failure, delivered if nothing better comes
-	// next is the endpoint of the next attempt with its permit, if it is chosen already.
+	r            *Router
+	c            *Call
+	tried        map[string]bool
+	sent         int
+	ran          bool    // an attempt may have run
+	failedAnswer *Answer // an endpoint's own failure, delivered if no later attempt succeeds
+	// next is the endpoint of the next attempt with its permit, if it is already chosen.
 	next    *Endpoint
 	permit  *permit
-	limited atLimit
+	limited limitedUntil
 }
 
-// Call serves a plain call: it returns the answer, or why it was given up.
+// Call serves a plain call. It returns the answer, or why the call was given up.
 func (r *Router) Call(ctx context.Context, c *Call) (*Answer, *Failure) {
 	if f := r.charge(c); f != nil {
 		return nil, f
@@ -52,18 +52,18 @@
 }
 
 func (r *Router) call(ctx context.Context, c *Call) (*Answer, *Failure) {
-	run := &plainRun{r: r, c: c, tried: make(map[string]bool), limited: make(atLimit)}
+	run := &plainRun{r: r, c: c, tried: make(map[string]bool), limited: make(limitedUntil)}
 	r.budget(c.Service.Name).First(c.Began)
 	for unreachable := 0; ; {
 		a, err := run.attempt(ctx)
 		if !errorx.IsOfType(err, ErrNotRun) {
 			run.ran = true
 		}
-		if err == nil && (!a.Failed || c.Route.Kind != Idempotent || !run.again(ctx, nil)) {
+		if err == nil && (!a.Failed || c.Route.Kind != Idempotent || !run.mayRetry(ctx, nil)) {
 			return a, nil
 		}
 		if err == nil {
-			run.failed = a
+			run.failedAnswer = a
 			continue
 		}
 		if errorx.IsOfType(err, ErrUnreachable) && unreachable < maxUnreachable && !c.Keyed {
@@ -71,18 +71,17 @@
 			run.sent--
 			continue
 		}
-		if run.repeatable(err) && run.again(ctx, err) {
+		if run.repeatable(err) && run.mayRetry(ctx, err) {
 			continue
 		}
-		if run.failed != nil {
-			return run.failed, nil
+		if run.failedAnswer != nil {
+			return run.failedAnswer, nil
 		}
 		return nil, run.failure(ctx, err)
 	}
 }
 
-// repeatable reports whether an attempt that ended with err may be followed
-// by another.
+// repeatable reports whether it is safe to repeat a call whose attempt ended with err.
 func (p *plainRun) repeatable(err error) bool {
 	if errorx.IsOfType(err, errNoEndpoint) || errorx.IsOfType(err, errPoison) {
 		return false
@@ -90,11 +89,11 @@
 	return p.c.Route.Kind == Idempotent || errorx.IsOfType(err, ErrNotRun)
 }
 
-// again reports whether one more attempt is within the route's attempts, the
-// budget and the time, and there is an endpoint for it.
-func (p *plainRun) again(ctx context.Context, err error) bool {
-	if p.r.gated() {
-		return p.againGated(ctx, err)
+// mayRetry reports whether the route, the retry budget and the deadline allow another
+// attempt, and an endpoint is available for it.
+func (p *plainRun) mayRetry(ctx context.Context, err error) bool {
+	if p.r.usesAgents() {
+		return p.mayRetryAtAgent(ctx, err)
 	}
 	now := time.Now()
 	if p.sent >= p.c.Route.MaxAttempts || ctx.Err() != nil || p.c.Left(now) <= 0 {
@@ -104,13 +103,13 @@
 		return false
 	}
 	if !p.r.budget(p.c.Service.Name).Retry(now) {
-		p.permit.end(now)
+		p.permit.release(now)
 		return false
 	}
 	return true
 }
 
-// pick returns an endpoint that takes the call within its limit, or nil.
+// pick returns an endpoint that accepts the call within its limit, or nil.
 func (p *plainRun) pick(now time.Time) *Endpoint {
 	for {
 		e := p.r.pickPlain(now, p.c, p.tried, p.limited)
@@ -126,13 +125,13 @@
 	}
 }
 
-// errNoEndpoint is returned when no endpoint can take a request.
+// errNoEndpoint is returned when no endpoint can accept a request.
 var errNoEndpoint = ErrNotRun.NewSubtype("no-endpoint")
 
 func (p *plainRun) attempt(ctx context.Context) (*Answer, error) {
 	r, c := p.r, p.c
 	if err := r.refusePoison(c); err != nil {
-		p.permit.end(time.Now())
+		p.permit.release(time.Now())
 		return nil, err
 	}
 	began := time.Now()
@@ -140,21 +139,21 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { p.permit.end(time.Now()) }()
+	defer func() { p.permit.release(time.Now()) }()
 	p.tried[e.ID] = true
 	p.sent++
-	ctx, cancel := context.WithDeadline(ctx, p.until(began))
+	ctx, cancel := context.WithDeadline(ctx, p.attemptDeadline(began))
 	defer cancel()
 	work := r.loads.Begin(e.ID, Load{Calls: 1})
 	a, err := r.endpoints.Call(ctx, e, c)
-	p.permit.sent(err)
+	p.permit.markSent(err)
 	work.End()
-	r.learn(ctx, e, a, err, time.Since(began))
+	r.recordAttempt(ctx, e, a, err, time.Since(began))
 	switch {
 	case err == nil:
 		r.crashes.Served(time.Now(), c.Content)
 	case ctx.Err() == nil:
-		r.lostAt(c, poison.Attempt{Lasted: time.Since(began)}, e, err)
+		r.recordIfCrashed(c, poison.Attempt{Lasted: time.Since(began)}, e, err)
 	}
 	r.log.Emit(event.AttemptEnded, zap.String("request", c.ID), c.ContentField(), zap.String("endpoint", e.ID),
 		zap.Duration("took", time.Since(began)), zap.Bool("failed", a != nil && a.Failed), event.Err(err))
@@ -162,7 +161,7 @@
 }
 
 func (p *plainRun) choose(ctx context.Context, now time.Time) (*Endpoint, error) {
-	if p.r.gated() {
+	if p.r.usesAgents() {
 		return p.r.choose(ctx, p.c, Plain, p.tried)
 	}
 	e := p.next
@@ -176,13 +175,13 @@
 	return nil, errNoEndpoint.New("no endpoint of %s can take the call", p.c.Service.Name)
 }
 
-// until returns when an attempt is given up for another one.
-func (p *plainRun) until(now time.Time) time.Time {
+// attemptDeadline returns when an attempt is abandoned for another one.
+func (p *plainRun) attemptDeadline(now time.Time) time.Time {
 	if most := p.c.Route.MaxAttempts; p.c.Route.Kind != Idempotent || most > 0 && p.sent >= most {
 		return p.c.Deadline
 	}
 	usual := p.r.loads.CallTime(p.c.Service.Name, p.c.Route.Target)
-	first := max(time.Duration(float64(p.c.Left(now))*firstShare), usual.High()+wayTime)
+	first := max(time.Duration(float64(p.c.Left(now))*firstAttemptFraction), usual.High()+networkAllowance)
 	return earlier(now.Add(first), p.c.Deadline)
 }
 
@@ -193,25 +192,25 @@
 	return b
 }
 
-// learn records what an attempt showed of its endpoint.
-func (r *Router) learn(ctx context.Context, e *Endpoint, a *Answer, err error, took time.Duration) {
+// recordAttempt records an attempt in its endpoint's health.
+func (r *Router) recordAttempt(ctx context.Context, e *Endpoint, a *Answer, err error, took time.Duration) {
 	now := time.Now()
 	switch {
 	case err == nil && !a.Failed:
-		r.loads.Answered(now, e, took)
+		r.loads.RecordCall(now, e, took)
 	case err == nil:
-		r.loads.Failed(now, e.ID)
+		r.loads.RecordFailure(now, e.ID)
 	case errors.Is(ctx.Err(), context.Canceled):
-		// The caller left: nothing is learned.
+		// The caller left, which says nothing about the endpoint.
 	case unanswered(err) || errors.Is(ctx.Err(), context.DeadlineExceeded):
 		r.avoid(now, e, err)
 	default:
-		r.loads.Failed(now, e.ID)
+		r.loads.RecordFailure(now, e.ID)
 	}
 }
 
-// unanswered reports whether the endpoint itself gave no answer at all: it took
-// no connection, or another one has its address.
+// unanswered reports whether the endpoint itself gave no answer: it accepted no
+// connection, or another one has its address.
 func unanswered(err error) bool {
 	return errorx.IsOfType(err, ErrUnreachable) || errorx.IsOfType(err, ErrMoved)
 }
@@ -219,10 +218,10 @@
 // avoid records an endpoint that gave no answer.
 func (r *Router) avoid(now time.Time, e *Endpoint, err error) {
 	if errorx.IsOfType(err, ErrAbsent) {
-		r.loads.Gone(now, e.ID)
+		r.loads.RecordGone(now, e.ID)
 		return
 	}
-	r.loads.Silent(now, e.ID)
+	r.loads.RecordUnresponsive(now, e.ID)
 }
 
 func (p *plainRun) failure(ctx context.Context, err error) *Failure {
@@ -232,7 +231,7 @@
 		f.Why = CallerGone
 	case errorx.IsOfType(err, ErrNotRun) && !p.ran:
 		f.Why = NotRun
-		f.Retry = advice(err, p.retry())
+		f.Retry = retryAdvice(err, p.retryDelay())
 	case p.c.Left(time.Now()) <= 0:
 		f.Why = TimedOut
 	default:
@@ -241,33 +240,32 @@
 	return f
 }
 
-// retry is when a refused call may come back.
-func (p *plainRun) retry() time.Duration {
+// retryDelay returns when a refused call may be retried.
+func (p *plainRun) retryDelay() time.Duration {
 	call := float64(p.r.loads.CallTime(p.c.Service.Name, p.c.Route.Target).Mean)
-	closed := p.r.closedLeft(time.Now(), p.c.Service.Name, Plain, p.limited)
-	return closed + p.r.jitter(time.Duration(plainRetry*call), max(time.Duration(plainRetrySpread*call), time.Millisecond))
+	unavailable := p.r.unavailableFor(time.Now(), p.c.Service.Name, Plain, p.limited)
+	return unavailable + p.r.jitter(time.Duration(plainRetryCalls*call), max(time.Duration(plainRetrySpreadCalls*call), time.Millisecond))
 }
 
-// failCalls is the delay that a certain failure is worth in the choice of an
-// endpoint, in usual times of a call: the failed one, and a second one behind
-// others.
-const failCalls = 6.5
+// failureCostCalls is the cost of a certain failure, in expected call durations: the
+// failed call, and a second one queued behind others.
+const failureCostCalls = 6.5
 
-// farCost is what a hop to another data centre costs in the choice; it only
-// decides between endpoints that are otherwise equal.
-const farCost = 4 * time.Millisecond
+// remoteDCCost is the cost of calling an endpoint in another data centre. It only decides
+// between otherwise equal endpoints.
+const remoteDCCost = 4 * time.Millisecond
 
-// pickPlain returns the endpoint with the least expected time for a call.
+// pickPlain returns the endpoint with the lowest expected call duration.
 //
-// A few slots before many callers, with endpoints that
-// are slow, fail a part or hang. Expected time counts work under way of all
-// entries, so that a slow endpoint gets its share and no more.
-func (r *Router) pickPlain(now time.Time, c *Call, tried map[string]bool, limited atLimit) *Endpoint {
+// The expectation includes the work in progress of all entries and the endpoint's
+// slowdown and failure rate, so that slow, failing or hanging endpoints with few slots
+// get no more calls than they can serve.
+func (r *Router) pickPlain(now time.Time, c *Call, tried map[string]bool, limited limitedUntil) *Endpoint {
 	var best *Endpoint
 	var bestCost float64
 	usual := float64(r.loads.CallTime(c.Service.Name, c.Route.Target).Mean)
 	for _, e := range r.Directory().Endpoints(c.Service.Name, Plain) {
-		if tried[e.ID] || now.Before(limited[e.ID]) || r.loads.quietLeft(now, e.ID) > 0 {
+		if tried[e.ID] || now.Before(limited[e.ID]) || r.loads.backoffLeft(now, e.ID) > 0 {
 			continue
 		}
 		cost := r.plainCost(now, e, usual)
@@ -278,20 +276,21 @@
 	return best
 }
 
-// plainCost is the expected time of a call; usual is that of the service.
+// plainCost returns the expected duration of a call at an endpoint; usual is the expected
+// duration for the service.
 func (r *Router) plainCost(now time.Time, e *Endpoint, usual float64) float64 {
 	v := r.loads.View(now, e.ID)
 	slots := max(e.Slots, 1)
 	fill := float64(v.Calls+1) / float64(slots)
-	cost := usual*v.Slow*max(1, fill) + fill*float64(farCost) + v.FailShare*failCalls*usual
+	cost := usual*v.Slowdown*max(1, fill) + fill*float64(remoteDCCost) + v.FailureRate*failureCostCalls*usual
 	if e.DataCentre != r.set.DataCentre {
-		cost += float64(farCost)
+		cost += float64(remoteDCCost)
 	}
-	if v.Avoid {
+	if v.Avoided {
 		cost += avoidCost
 	}
 	return cost
 }
 
-// avoidCost puts an endpoint behind all that are not avoided.
+// avoidCost ranks an avoided endpoint behind all others.
 const avoidCost = float64(time.Minute)
--- a/router/plain_test.go
+++ b/router/plain_test.go
@@ -12,43 +12,43 @@
 	"ebonypulley/router"
 )
 
-// TestBookingRunsOnce: a seat is booked twice. The worker ran the booking and
-// its answer was lost; whether it ran is unknown, so it is not repeated and
-// the caller is not told that it did not run.
-func TestBookingRunsOnce(t *testing.T) {
+// TestNonIdempotentRunsOnce: when the answer to a non-idempotent call is lost, it is
+// unknown whether it ran. It must not be repeated, and the caller must not be told that
+// it did not run.
+func TestNonIdempotentRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{call: func(context.Context, *router.Endpoint) (*router.Answer, error) {
 			return nil, router.ErrLost.New("reset")
 		}}
 		r := newRouter(f, plain("a"), plain("b"))
-		route := bookingRoute
+		route := nonIdempotentRoute
 		route.MaxAttempts = 2
 		_, fail := r.Call(t.Context(), newCall(route, app))
 		require.NotNil(t, fail)
 		assert.Equal(t, router.Unknown, fail.Why)
-		assert.Len(t, f.notes(), 1)
+		assert.Len(t, f.recorded(), 1)
 	})
 }
 
-// TestRefusedBooking: a booking that its worker refused is answered as not
-// run, at once and with a time to come back.
-func TestRefusedBooking(t *testing.T) {
+// TestRefusedNonIdempotentCall: a call that its endpoint refused must be answered as not
+// run, at once and with a retry time.
+func TestRefusedNonIdempotentCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{call: func(context.Context, *router.Endpoint) (*router.Answer, error) {
 			return nil, router.ErrNotRun.New("full")
 		}}
 		r := newRouter(f, plain("a"), plain("b"))
 		refusedAtOnce(t, router.NotRun, func() *router.Failure {
-			_, fail := r.Call(t.Context(), newCall(bookingRoute, app))
+			_, fail := r.Call(t.Context(), newCall(nonIdempotentRoute, app))
 			return fail
 		})
-		assert.Len(t, f.notes(), 1, "the route allows one endpoint")
+		assert.Len(t, f.recorded(), 1, "the route allows one endpoint")
 	})
 }
 
-// TestUnreachableWorker: bookings fail although other workers are well. One
-// worker has just crashed and takes no connection; it got nothing of the
-// request, so that another may.
+// TestUnreachableWorker: an endpoint that has just crashed accepts no connection and
+// receives nothing of the call. Even a non-idempotent call must then be sent to another
+// endpoint.
 func TestUnreachableWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{call: func(_ context.Context, e *router.Endpoint) (*router.Answer, error) {
@@ -59,12 +59,12 @@
 		}}
 		r := newRouter(f, plain("a"), plain("b"))
 		for range 20 {
-			a, fail := r.Call(t.Context(), newCall(bookingRoute, app))
+			a, fail := r.Call(t.Context(), newCall(nonIdempotentRoute, app))
 			require.Nil(t, fail)
 			assert.Equal(t, "b", a.Body)
 		}
 		tries := 0
-		for _, n := range f.notes() {
+		for _, n := range f.recorded() {
 			if n == "call a" {
 				tries++
 			}
@@ -73,25 +73,25 @@
 	})
 }
 
-// TestFailedLookup: a lookup whose worker reports a failure of its own is
-// asked for once more elsewhere; if that fails too, the caller gets the
-// worker's answer.
-func TestFailedLookup(t *testing.T) {
+// TestReportedFailureIsRetried: an idempotent call whose endpoint reports a failure of
+// its own must be tried once more elsewhere. If that fails too, the caller must get the
+// endpoint's answer.
+func TestReportedFailureIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{call: func(_ context.Context, e *router.Endpoint) (*router.Answer, error) {
 			return &router.Answer{Failed: true, Body: e.ID}, nil
 		}}
 		r := newRouter(f, plain("a"), plain("b"), plain("c"))
-		a, fail := r.Call(t.Context(), newCall(lookupRoute, app))
+		a, fail := r.Call(t.Context(), newCall(idempotentRoute, app))
 		require.Nil(t, fail)
 		assert.True(t, a.Failed)
-		assert.Len(t, f.notes(), 2, "the route allows two endpoints")
+		assert.Len(t, f.recorded(), 2, "the route allows two endpoints")
 	})
 }
 
-// TestHangingWorker: secretaries wait for their screens. One worker takes
-// lookups and never answers; a lookup is asked for elsewhere while there is
-// time, and the worker gets none of those after it for a while.
+// TestHangingWorker: one endpoint accepts calls and never answers. An idempotent call
+// must be tried elsewhere while there is time, and further calls must avoid the endpoint
+// for a while.
 func TestHangingWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{}
@@ -108,19 +108,19 @@
 			return &router.Answer{Body: e.ID}, nil
 		}
 		for range 10 {
-			c := newCall(lookupRoute, app)
+			c := newCall(idempotentRoute, app)
 			c.Deadline = c.Began.Add(800 * time.Millisecond)
 			a, fail := r.Call(t.Context(), c)
 			require.Nil(t, fail)
 			assert.NotEqual(t, slow, a.Body)
 		}
-		assert.LessOrEqual(t, len(f.notes()), 12)
+		assert.LessOrEqual(t, len(f.recorded()), 12)
 	})
 }
 
-// TestRetryBudget: an outage multiplies its own load. Every lookup fails and
-// each would be repeated; all repeats together stay within the ratio and this
-// entry's part of the slack.
+// TestRetryBudget guards against retries that multiply the load in an outage. Every call
+// fails; all retries together must stay within the ratio and this entry's share of the
+// slack.
 func TestRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{call: func(context.Context, *router.Endpoint) (*router.Answer, error) {
@@ -129,12 +129,12 @@
 		r := newRouter(f, plain("a"), plain("b"))
 		const requests = 200
 		for range requests {
-			_, fail := r.Call(t.Context(), newCall(lookupRoute, app))
+			_, fail := r.Call(t.Context(), newCall(idempotentRoute, app))
 			require.NotNil(t, fail)
 			time.Sleep(10 * time.Millisecond)
 		}
-		extra := len(f.notes()) - requests
+		extra := len(f.recorded()) - requests
 		assert.LessOrEqual(t, float64(extra), 0.2*requests+ownSlack)
-		assert.Greater(t, extra, 30, "what is allowed is used")
+		assert.Greater(t, extra, 30, "the allowed retries are used")
 	})
 }
--- a/router/poison.go
+++ b/router/poison.go
@@ -13,30 +13,31 @@
 )
 
 const (
-	// poisonRetry is when the caller of a request that is turned away for its crashes may
-	// come back: not before somebody can have looked at it.
-	poisonRetry = time.Minute
-	// crashAsks is how often an endpoint that gives no clear answer is asked whether it
-	// still runs, with crashPause between: a process that ends closes one socket after
-	// the other.
-	crashAsks  = 3
-	crashPause = 100 * time.Millisecond
+	// poisonRetryDelay is the retry delay for a request that is blocked because it crashes
+	// endpoints. It leaves time for somebody to look at it.
+	poisonRetryDelay = time.Minute
+	// crashProbes is the maximum number of probes to find out whether an endpoint has
+	// crashed, with crashProbeInterval between them. A single probe may be inconclusive,
+	// because an exiting process closes its sockets one after the other.
+	crashProbes        = 3
+	crashProbeInterval = 100 * time.Millisecond
 )
 
 // errPoison is returned for a request that crashes the endpoints that run it.
 var errPoison = ErrNotRun.NewSubtype("poison")
 
-// Crashes returns what is known of requests that ran where endpoints crashed.
+// Crashes returns the ledger of requests that were running when endpoints crashed.
 func (r *Router) Crashes() *poison.Ledger { return r.crashes }
 
-// refusePoison returns an error for a request that is turned away for its crashes. It is
-// asked again before each arrival, because others may have found out meanwhile.
+// refusePoison returns an error if the request is blocked because it crashes endpoints.
+// It is called before each arrival at an endpoint, because other entries may have
+// reported crashes meanwhile.
 func (r *Router) refusePoison(c *Call) error {
 	if c.Content == 0 || !r.crashes.Turned(time.Now(), c.Content) {
 		return nil
 	}
 	r.metrics.Add("poison_refused", 1)
-	return WithRetryAfter(errPoison.New("it has crashed the endpoints that ran it"), poisonRetry)
+	return WithRetryAfter(errPoison.New("the request crashed the endpoints that ran it"), poisonRetryDelay)
 }
 
 func (r *Router) poisonFound(content uint64, crashes int) {
@@ -44,15 +45,15 @@
 	r.log.Emit(event.PoisonFound, zap.String("content", strconv.FormatUint(content, 16)), zap.Int("crashes", crashes))
 }
 
-// startEvents is how many events an attempt may bring before it counts as one that ran for
-// a while.
-const startEvents = 2
+// minRunEvents is the number of events above which an attempt counts as having run for a
+// while before its endpoint crashed.
+const minRunEvents = 2
 
-// lostAt records that an attempt was lost with its connection, if the endpoint has crashed.
-// It waits a little for that, so that the request does not go on to another endpoint
-// meanwhile.
-func (r *Router) lostAt(c *Call, a poison.Attempt, e *Endpoint, err error) {
-	if r.gated() || c.Content == 0 || !errorx.IsOfType(err, ErrBroken) {
+// recordIfCrashed records a lost attempt if its endpoint has crashed. It waits briefly
+// for the result of that check, so that the request is not sent to another endpoint
+// before it may be blocked.
+func (r *Router) recordIfCrashed(c *Call, a poison.Attempt, e *Endpoint, err error) {
+	if r.usesAgents() || c.Content == 0 || !errorx.IsOfType(err, ErrBroken) {
 		return
 	}
 	a.Endpoint = e.ID
@@ -68,43 +69,44 @@
 	}()
 	select {
 	case <-known:
-	case <-time.After(crashPause):
+	case <-time.After(crashProbeInterval):
 	}
 }
 
-// question is whether an endpoint still runs; all who ask at a time share it.
-type question struct {
+// crashCheck is a check whether an endpoint has crashed, shared by concurrent callers.
+type crashCheck struct {
 	done    chan struct{}
 	crashed bool
 }
 
-// crashed reports whether an endpoint runs no more, which is final: what starts in its
-// place is another one. One that does not answer may be cut off, and counts as running.
+// crashed reports whether an endpoint no longer runs. That is final, because a
+// replacement is another endpoint. An unreachable endpoint may be cut off from the
+// network, and counts as running.
 func (r *Router) crashed(e *Endpoint) bool {
 	r.mu.Lock()
-	q := r.questions[e.ID]
+	q := r.crashChecks[e.ID]
 	if q == nil {
-		q = &question{done: make(chan struct{})}
-		r.questions[e.ID] = q
-		go r.settle(e, q)
+		q = &crashCheck{done: make(chan struct{})}
+		r.crashChecks[e.ID] = q
+		go r.runCrashCheck(e, q)
 	}
 	r.mu.Unlock()
 	<-q.done
 	return q.crashed
 }
 
-// settle answers a question.
-func (r *Router) settle(e *Endpoint, q *question) {
-	q.crashed = r.runsNoMore(e)
+// runCrashCheck runs a check and publishes its result.
+func (r *Router) runCrashCheck(e *Endpoint, q *crashCheck) {
+	q.crashed = r.hasStopped(e)
 	r.mu.Lock()
-	delete(r.questions, e.ID)
+	delete(r.crashChecks, e.ID)
 	r.mu.Unlock()
 	close(q.done)
 }
 
-func (r *Router) runsNoMore(e *Endpoint) bool {
-	for range crashAsks {
-		ctx, cancel := context.WithTimeout(context.Background(), aliveTimeout)
+func (r *Router) hasStopped(e *Endpoint) bool {
+	for range crashProbes {
+		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		err := r.endpoints.Alive(ctx, e)
 		cancel()
 		switch {
@@ -113,7 +115,7 @@
 		case errorx.IsOfType(err, ErrAbsent) || errorx.IsOfType(err, ErrMoved):
 			return true
 		}
-		time.Sleep(crashPause)
+		time.Sleep(crashProbeInterval)
 	}
 	return false
 }
--- a/router/poison_test.go
+++ b/router/poison_test.go
@@ -15,44 +15,43 @@
 
 const poisonContent = 0xbad
 
-// crashing are endpoints that end when a call of poisonContent starts there.
-type crashing struct {
+// crashingEndpoints are endpoints that crash when a call with poisonContent starts there.
+type crashingEndpoints struct {
 	*fakeEndpoints
-	ended map[string]bool
+	crashed map[string]bool
 }
 
-func (f *crashing) Call(ctx context.Context, e *router.Endpoint, c *router.Call) (*router.Answer, error) {
+func (f *crashingEndpoints) Call(ctx context.Context, e *router.Endpoint, c *router.Call) (*router.Answer, error) {
 	switch {
-	case f.ended[e.ID]:
+	case f.crashed[e.ID]:
 		return nil, router.ErrAbsent.New("connection refused")
 	case c.Content != poisonContent:
 		return f.fakeEndpoints.Call(ctx, e, c)
 	}
-	f.note("crash %s", e.ID)
-	f.ended[e.ID] = true
+	f.record("crash %s", e.ID)
+	f.crashed[e.ID] = true
 	return nil, router.ErrBroken.New("unexpected EOF")
 }
 
-// TestPoisonCall: a look-up crashes each worker that runs it, and the screen that asked
-// asks again each second, until no worker is left. After the third crash it gets no other
-// worker and is told to stay away; other look-ups are
-// served.
+// TestPoisonCall: a call crashes each endpoint that runs it, and its caller repeats it
+// each second until no endpoint is left. After the third crash it must reach no other
+// endpoint and be given a long retry delay, while other calls are served.
 func TestPoisonCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &crashing{fakeEndpoints: &fakeEndpoints{}, ended: make(map[string]bool)}
+		f := &crashingEndpoints{fakeEndpoints: &fakeEndpoints{}, crashed: make(map[string]bool)}
 		var list []*router.Endpoint
 		for i := range 6 {
 			list = append(list, plain(fmt.Sprint("app-", i)))
 		}
 		f.alive = func(_ context.Context, e *router.Endpoint) error {
-			if f.ended[e.ID] {
+			if f.crashed[e.ID] {
 				return router.ErrAbsent.New("connection refused")
 			}
 			return nil
 		}
 		r := newRouterOf(f, list...)
 		send := func(content uint64) *router.Failure {
-			c := newCall(lookupRoute, app)
+			c := newCall(idempotentRoute, app)
 			c.Content = content
 			_, fail := r.Call(t.Context(), c)
 			time.Sleep(time.Second)
@@ -61,7 +60,7 @@
 		for range 5 {
 			require.NotNil(t, send(poisonContent))
 		}
-		assert.Len(t, f.ended, 3)
+		assert.Len(t, f.crashed, 3)
 		fail := send(poisonContent)
 		assert.Equal(t, router.NotRun, fail.Why)
 		assert.Equal(t, time.Minute, fail.Retry)
@@ -69,9 +68,9 @@
 	})
 }
 
-// TestBrokenIsNoCrash: connections are reset while the workers live. Whoever asks again
-// is served, however often that happens.
-func TestBrokenIsNoCrash(t *testing.T) {
+// TestResetIsNoCrash: when connections are reset while the endpoints keep running,
+// repeated calls must be served, however often that happens.
+func TestResetIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reset := make(map[string]bool)
 		f := &fakeEndpoints{call: func(_ context.Context, e *router.Endpoint) (*router.Answer, error) {
@@ -88,7 +87,7 @@
 		}
 		r := newRouter(f, list...)
 		send := func() *router.Failure {
-			c := newCall(bookingRoute, app)
+			c := newCall(nonIdempotentRoute, app)
 			c.Content = poisonContent
 			_, fail := r.Call(t.Context(), c)
 			return fail
--- a/router/prefill.go
+++ b/router/prefill.go
@@ -12,19 +12,19 @@
 	"ebonypulley/poison"
 )
 
-// resultMargin is the life that a prefill result must have left to be sent on:
-// the way to an engine.
-const resultMargin = 30 * time.Millisecond
+// minResultLife is the minimum remaining lifetime of a prefill result to be used: the
+// network time to an engine.
+const minResultLife = 30 * time.Millisecond
 
-// prefill computes the prompt at the prefill endpoint of a way.
+// prefill computes the prompt's KV cache at the placement's prefill endpoint.
 func (g *generationRun) prefill(ctx context.Context, a admission) (*Result, error) {
 	r, c, p := g.r, g.c, a.placement
-	if err := g.spend(); err != nil {
+	if err := g.chargeArrival(); err != nil {
 		return nil, err
 	}
-	if !g.payAhead() {
-		g.giveBack()
-		return nil, errBudget.New("the retry budget is used up for the answer")
+	if !g.prepayDecode() {
+		g.refundArrival()
+		return nil, errBudget.New("the retry budget is exhausted: no charge left to decode the prompt")
 	}
 	began := time.Now()
 	tokens := r.loads.View(began, p.prefill.ID).Prefill + c.Prompt
@@ -32,26 +32,26 @@
 	defer work.End()
 	stage, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w := r.watch(p.prefill, usual(p.prompt, g.callerLeft(began)), cancel)
+	w := r.startWatchdog(p.prefill, stepLimits(p.prefillTime, g.callerTimeLeft(began)), cancel)
 	defer w.stop()
 	res, err := r.endpoints.Prefill(stage, p.prefill, c)
-	err = unsent(w.verdict, err)
+	err = asUnreachable(w.verdict, err)
 	took := time.Since(began)
-	g.arrived(err)
-	a.permits.prefill.sent(err)
+	g.refundUnreached(err)
+	a.permits.prefill.markSent(err)
 	if err != nil {
 		g.tried[p.prefill.ID] = true
 		g.prefillFailed(ctx, p.prefill, tokens, took, w.verdict(), err)
 		return nil, prefillError(p.prefill, err)
 	}
-	g.computed()
-	r.loads.Prefilled(time.Now(), p.prefill, c.Service, tokens, took)
+	g.prefillAccepted()
+	r.loads.RecordPrefill(time.Now(), p.prefill, c.Service, tokens, took)
 	r.log.Emit(event.PromptComputed, zap.String("request", c.ID), zap.String("endpoint", p.prefill.ID),
-		zap.Int("tokens", c.Prompt), zap.Int("ahead", tokens-c.Prompt), zap.Duration("took", took), zap.Duration("estimate", p.prompt.Mean))
+		zap.Int("tokens", c.Prompt), zap.Int("ahead", tokens-c.Prompt), zap.Duration("took", took), zap.Duration("estimate", p.prefillTime.Mean))
 	return res, nil
 }
 
-// prefillFailed records what a failed prefill shows of its endpoint.
+// prefillFailed records a failed prefill in the endpoint's health.
 func (g *generationRun) prefillFailed(ctx context.Context, e *Endpoint, tokens int, took time.Duration, v verdict, err error) {
 	now := time.Now()
 	if v == hanging {
@@ -59,18 +59,18 @@
 	}
 	switch {
 	case v != undecided:
-		g.r.loads.Silent(now, e.ID)
+		g.r.loads.RecordUnresponsive(now, e.ID)
 	case ctx.Err() != nil:
-		// The caller left: nothing is learned.
+		// The caller left, which says nothing about the endpoint.
 	case unanswered(err):
 		g.r.avoid(now, e, err)
 	default:
-		g.r.loads.Failed(now, e.ID)
-		g.r.lostAt(g.c, poison.Attempt{Lasted: took}, e, err)
+		g.r.loads.RecordFailure(now, e.ID)
+		g.r.recordIfCrashed(g.c, poison.Attempt{Lasted: took}, e, err)
 	}
 }
 
-// prefillError says what became of a prefill without a result.
+// prefillError classifies the error of a prefill without a result.
 func prefillError(e *Endpoint, err error) error {
 	switch {
 	case errorx.IsOfType(err, ErrAbsent):
@@ -78,17 +78,17 @@
 	case errorx.IsOfType(err, ErrUnreachable):
 		return ErrUnreachable.Wrap(err, "prefill at %s", e.ID)
 	case errorx.IsOfType(err, ErrNotRun):
-		return advised(errPrefill.Wrap(err, "prefill at %s", e.ID), err)
+		return withAdviceOf(errPrefill.Wrap(err, "prefill at %s", e.ID), err)
 	default:
 		return errPrefillLost.Wrap(err, "prefill at %s", e.ID)
 	}
 }
 
 var (
-	// errPrefill is returned when a prefill brought no result. A prefill is no
-	// run, whatever became of it.
+	// errPrefill is returned when a prefill gave no result. Nothing was generated, so the
+	// generation counts as not run.
 	errPrefill = ErrNotRun.NewSubtype("prefill")
-	// errPrefillLost is an errPrefill that was not refused but lost.
+	// errPrefillLost is an errPrefill of a prefill that was lost rather than refused.
 	errPrefillLost = errPrefill.NewSubtype("lost")
 )
 
@@ -98,8 +98,8 @@
 	}
 }
 
-// result returns the prompt's KV cache for a way with a prefill: a kept one
-// or a new one.
+// result returns the prompt's KV cache for a placement: the kept result or a new one. It
+// is nil if the decode endpoint prefills the prompt itself.
 func (g *generationRun) result(ctx context.Context, a admission) (*Result, error) {
 	kept := g.kept
 	g.kept = nil
@@ -113,25 +113,25 @@
 	return g.prefill(ctx, a)
 }
 
-// dropKept frees a kept result that no attempt took.
+// dropKept frees a kept result that no attempt used.
 func (g *generationRun) dropKept() {
 	if g.kept == nil {
 		return
 	}
-	g.wasted(g.kept)
+	g.recordWasted(g.kept)
 	g.r.endpoints.Drop(g.kept)
 	g.kept = nil
 }
 
-// expireKept frees a kept result that won't live long enough to be used.
+// expireKept frees a kept result that expires too soon to be used.
 func (g *generationRun) expireKept(now time.Time) {
-	if g.kept != nil && g.kept.Expiry.Sub(now) < resultMargin {
+	if g.kept != nil && g.kept.Expiry.Sub(now) < minResultLife {
 		g.dropKept()
 	}
 }
 
-// wasted counts a prompt that was computed in vain.
-func (g *generationRun) wasted(res *Result) {
+// recordWasted records a prefill whose result was not used.
+func (g *generationRun) recordWasted(res *Result) {
 	g.r.metrics.Add("wasted_prefill_tokens", int64(g.c.Prompt))
 	g.r.log.Emit(event.ResultWasted, zap.String("request", g.c.ID), zap.String("endpoint", res.Endpoint.ID))
 }
--- a/router/quota.go
+++ b/router/quota.go
@@ -6,17 +6,17 @@
 	"ebonypulley/quota"
 )
 
-// quotaRetrySpread is over how much time the returns of callers are spread that were refused
-// together because their workspace is at its limit.
+// quotaRetrySpread is the time over which the retries of callers are spread that were
+// refused together because their workspace is at its limit.
 const quotaRetrySpread = 250 * time.Millisecond
 
 // errQuota is returned for a call whose workspace is at its limit.
 var errQuota = ErrNotRun.NewSubtype("quota")
 
-// Quotas returns what is known of the use of workspaces.
+// Quotas returns the ledger of workspace and endpoint limits.
 func (r *Router) Quotas() *quota.Ledger { return r.quotas }
 
-// charge takes a call's tokens from the limit of its workspace, or refuses the call.
+// charge counts a call's tokens against the limit of its workspace, or refuses the call.
 func (r *Router) charge(c *Call) *Failure {
 	if c.Workspace == nil {
 		return nil
@@ -28,12 +28,12 @@
 	r.metrics.Add("quota_refused."+c.Workspace.Name, 1)
 	why := OverQuota
 	if v.Share == 0 {
-		why = NotRun // it may be far below its limit
+		why = NotRun // this process has no share of the limit, and the workspace may be far below it
 	}
 	return &Failure{
 		Why:   why,
-		Retry: min(r.jitter(v.Wait, quotaRetrySpread), time.Duration(retryMostShare*float64(c.Wait))),
-		Cause: errQuota.New("workspace %s is at its limit: %d tokens asked for, level %.0f, part of the limit %.2f", c.Workspace.Name, c.Tokens, v.Level, v.Share),
+		Retry: min(r.jitter(v.Wait, quotaRetrySpread), time.Duration(maxRetryFraction*float64(c.Wait))),
+		Cause: errQuota.New("workspace %s is at its limit: %d tokens requested, level %.0f, share of the limit %.2f", c.Workspace.Name, c.Tokens, v.Level, v.Share),
 	}
 }
 
--- a/router/quota_test.go
+++ b/router/quota_test.go
@@ -11,7 +11,7 @@
 	"ebonypulley/router"
 )
 
-// newLimited returns a router alone before endpoints, and a workspace with a limit.
+// newLimited returns the router of a sole entry, and a workspace with a limit.
 func newLimited(f *fakeEndpoints, l quota.Limit, endpoints ...*router.Endpoint) (*router.Router, *router.Workspace) {
 	r := newRouter(f, endpoints...)
 	w := &router.Workspace{Name: "school", ID: quota.NewID("school"), Rank: router.NoRank, Limit: l, PlainTokens: 200}
@@ -21,7 +21,7 @@
 	return r, w
 }
 
-func (w *limitedCall) of(r *router.Router, t *testing.T) *router.Failure {
+func (w *limitedCall) send(r *router.Router, t *testing.T) *router.Failure {
 	c := newCall(w.route, app)
 	c.Workspace, c.Tokens = w.workspace, w.workspace.Count(0)
 	_, fail := r.Call(t.Context(), c)
@@ -33,22 +33,22 @@
 	workspace *router.Workspace
 }
 
-// TestQuotaRefusesAtOnce: a workspace is at its limit, and its callers wait for a refusal,
-// or are not told when to come back.
+// TestQuotaRefusesAtOnce: calls of a workspace at its limit must be refused without delay
+// and with a retry time.
 func TestQuotaRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{call: func(context.Context, *router.Endpoint) (*router.Answer, error) { return &router.Answer{}, nil }}
 		r, w := newLimited(f, quota.Limit{Rate: 200, Burst: 400}, plain("a"))
-		call := &limitedCall{bookingRoute, w}
-		assert.Nil(t, call.of(r, t))
-		assert.Nil(t, call.of(r, t))
-		refusedAtOnce(t, router.OverQuota, func() *router.Failure { return call.of(r, t) })
-		assert.Len(t, f.notes(), 2, "what is refused reaches no endpoint")
+		call := &limitedCall{nonIdempotentRoute, w}
+		assert.Nil(t, call.send(r, t))
+		assert.Nil(t, call.send(r, t))
+		refusedAtOnce(t, router.OverQuota, func() *router.Failure { return call.send(r, t) })
+		assert.Len(t, f.recorded(), 2, "refused calls reach no endpoint")
 	})
 }
 
-// TestNotRunIsNotCounted: no worker has room for a while, and the requests that were
-// refused for it use up their workspace's limit.
+// TestNotRunIsNotCounted: calls refused because no endpoint has room must not use up the
+// limit of their workspace.
 func TestNotRunIsNotCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		full := true
@@ -59,31 +59,32 @@
 			return &router.Answer{}, nil
 		}}
 		r, w := newLimited(f, quota.Limit{Rate: 200, Burst: 400}, plain("a"))
-		call := &limitedCall{bookingRoute, w}
+		call := &limitedCall{nonIdempotentRoute, w}
 		for range 20 {
-			assert.Equal(t, router.NotRun, call.of(r, t).Why)
+			assert.Equal(t, router.NotRun, call.send(r, t).Why)
 		}
 		full = false
-		assert.Nil(t, call.of(r, t))
+		assert.Nil(t, call.send(r, t))
 	})
 }
 
-// TestLostIsCounted: a request that may have run counts, also if its answer is lost.
+// TestLostIsCounted: a call that may have run counts against the limit, even if its
+// answer was lost.
 func TestLostIsCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{call: func(context.Context, *router.Endpoint) (*router.Answer, error) {
 			return nil, router.ErrLost.New("reset")
 		}}
 		r, w := newLimited(f, quota.Limit{Rate: 200, Burst: 400}, plain("a"))
-		call := &limitedCall{bookingRoute, w}
+		call := &limitedCall{nonIdempotentRoute, w}
 		for range 2 {
-			assert.Equal(t, router.Unknown, call.of(r, t).Why)
+			assert.Equal(t, router.Unknown, call.send(r, t).Why)
 		}
-		assert.Equal(t, router.OverQuota, call.of(r, t).Why)
+		assert.Equal(t, router.OverQuota, call.send(r, t).Why)
 	})
 }
 
-// TestRankOfWorkspace: a workspace's rank goes before that of the route.
+// TestRankOfWorkspace: the rank of a workspace overrides that of the route.
 func TestRankOfWorkspace(t *testing.T) {
 	c := newCall(router.Route{Rank: 2}, app)
 	assert.Equal(t, 2, c.Rank())
--- a/router/router.go
+++ b/router/router.go
@@ -15,53 +15,53 @@
 	"ebonypulley/quota"
 )
 
-// Settings are the bounds that the deployment sets.
+// Settings configure a Router.
 type Settings struct {
-	// DataCentre is where this process runs.
+	// DataCentre is the data centre this process runs in.
 	DataCentre string
-	// RetryRatio, RetryWindow and RetrySlack bound the attempts beyond the
-	// first of all entries together: in each window a share of the requests,
-	// plus the slack.
+	// RetryRatio, RetryWindow and RetrySlack define the retry budget that all entries
+	// share. In each window, attempts beyond the first of each request may number at most
+	// RetryRatio times the requests, plus RetrySlack.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
-	// Quota is what is tolerated beyond the limits of workspaces.
+	// Quota is the tolerated overrun of workspace limits.
 	Quota quota.Tolerance
-	// EndpointTolerance is what is tolerated beyond the limits that endpoints name.
+	// EndpointTolerance is the tolerated overrun of the limits that endpoints announce.
 	EndpointTolerance quota.Tolerance
-	// Restarted says that this process may have run before, so that a former
-	// incarnation may have used its part of the slack just now.
+	// Restarted says that this process may have run before. An earlier incarnation may
+	// then have used its share of the slack only moments ago.
 	Restarted bool
-	// Alone says that nobody shares the retry budget, unless SetEntries tells of
+	// Alone says that no other entry shares the retry budget, until SetEntries reports
 	// others.
 	Alone bool
-	// Chooser is set for fleets whose endpoints stand behind gates of their
-	// own; see Chooser.
+	// Chooser is set for fleets with an agent in front of each endpoint; see Chooser.
 	Chooser Chooser
 }
 
-// Router serves requests by its directory. It is safe for concurrent use.
+// Router serves requests using the endpoints in its Directory. It is safe for concurrent
+// use.
 type Router struct {
-	set       Settings
-	endpoints Endpoints
-	loads     *Loads
-	crashes   *poison.Ledger
-	quotas    *quota.Ledger
-	log       *event.Log
-	metrics   *metrics.Set
-	directory atomic.Pointer[Directory]
-	cached    cachedLists
+	set        Settings
+	endpoints  Endpoints
+	loads      *Loads
+	crashes    *poison.Ledger
+	quotas     *quota.Ledger
+	log        *event.Log
+	metrics    *metrics.Set
+	directory  atomic.Pointer[Directory]
+	cacheIndex cacheIndex
 
 	mu      sync.Mutex
 	budgets map[string]*limit.SharedBudget
 	rnd     *rand.Rand
-	// leaving are the endpoints that said that they leave, with when they were last
-	// published.
+	// leaving maps the ID of each endpoint that announced its shutdown to the time it was
+	// last published.
 	leaving map[string]time.Time
-	// questions are those under way, by the endpoint's ID.
-	questions map[string]*question
-	// waits are the longest time limits that callers named, by route.
-	waits map[string]time.Duration
+	// crashChecks holds the checks in progress, by endpoint ID.
+	crashChecks map[string]*crashCheck
+	// longestTimeouts holds the longest timeout that callers of each route have requested.
+	longestTimeouts map[string]time.Duration
 }
 
 // New returns a router with an empty directory.
@@ -75,26 +75,27 @@
 			Tolerance: set.Quota, EndpointTolerance: set.EndpointTolerance,
 			Started: time.Now(), Restarted: set.Restarted, Alone: set.Alone, Seed: rand.Uint64(),
 		}),
-		log:       log,
-		metrics:   m,
-		budgets:   make(map[string]*limit.SharedBudget),
-		leaving:   make(map[string]time.Time),
-		questions: make(map[string]*question),
-		waits:     make(map[string]time.Duration),
-		rnd:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		log:             log,
+		metrics:         m,
+		budgets:         make(map[string]*limit.SharedBudget),
+		leaving:         make(map[string]time.Time),
+		crashChecks:     make(map[string]*crashCheck),
+		longestTimeouts: make(map[string]time.Duration),
+		rnd:             rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 	r.crashes.Found = r.poisonFound
 	r.directory.Store(NewDirectory(0, 0, nil, nil, nil))
 	return r
 }
 
-// Directory returns the view in force.
+// Directory returns the current directory.
 func (r *Router) Directory() *Directory { return r.directory.Load() }
 
-// SetDirectory puts a view in force.
+// SetDirectory replaces the directory. Endpoints that announced their shutdown stay out
+// of it.
 func (r *Router) SetDirectory(d *Directory) {
 	r.mu.Lock()
-	r.directory.Store(r.staying(time.Now(), d))
+	r.directory.Store(r.withoutLeaving(time.Now(), d))
 	r.mu.Unlock()
 	r.quotas.SetLimits(d.limits)
 	known := make(map[string]bool)
@@ -104,17 +105,17 @@
 		}
 	}
 	r.crashes.SetEndpoints(slices.Collect(maps.Keys(known)))
-	r.loads.Keep(func(id string) bool { return known[id] })
+	r.loads.Retain(func(id string) bool { return known[id] })
 }
 
-// Loads returns what is known of the work at the endpoints.
+// Loads returns the load and health records of the endpoints.
 func (r *Router) Loads() *Loads { return r.loads }
 
-// SetEntries tells how many entries share what is counted over all of them. Those that are not
-// heard any more still count.
+// SetEntries sets the number of entries that share the retry budget and the limits. It
+// includes entries that are no longer heard from.
 func (r *Router) SetEntries(n int) { r.quotas.SetEntries(n) }
 
-// SetBudget changes the bounds of the retry budget.
+// SetBudget changes the parameters of the retry budget.
 func (r *Router) SetBudget(ratio float64, window time.Duration, slack float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -143,7 +144,8 @@
 	return b
 }
 
-// Share picks the service of a request among those of its route, by weight.
+// Share picks one of the route's services at random, by weight. It returns nil if no
+// service has a weight.
 func (r *Router) Share(d *Directory, route *Route) *Service {
 	total := 0
 	for _, s := range route.Services {
@@ -167,7 +169,7 @@
 	return r.rnd.IntN(n)
 }
 
-// jitter returns a time between from and from + spread.
+// jitter returns a random duration in [from, from+spread).
 func (r *Router) jitter(from, spread time.Duration) time.Duration {
 	return from + time.Duration(r.random(int(spread)))
 }
--- a/router/run.go
+++ b/router/run.go
@@ -10,30 +10,31 @@
 	"ebonypulley/estimate"
 )
 
-// run is one attempt at a decode endpoint: what it was sent and what is learned
-// from the time to its first event.
-type run struct {
-	g  *generationRun
-	at *Endpoint
-	w  *watch
-	// work is the memory counted there, prompt the prefill that the endpoint
-	// does itself.
-	work, prompt *Work
-	// warm: the endpoint probably caches the prompt; result is the computed
-	// prompt, or nil.
+// decodeAttempt is one attempt at a decode endpoint, and learns from the time to its
+// first event.
+type decodeAttempt struct {
+	g        *generationRun
+	endpoint *Endpoint
+	watchdog *watchdog
+	// work is the memory accounted at the endpoint, prefillWork the prompt while the
+	// endpoint prefills it itself.
+	work, prefillWork *Work
+	// warm says that the endpoint probably caches the prompt. result is the prefill
+	// result, or nil.
 	warm   bool
 	result *Result
-	sent   time.Time
-	// tokens are those of the prompt and of prompts waiting there before it.
-	tokens int
-	begun  bool
+	sentAt time.Time
+	// prefillTokens counts the tokens of the prompt and of those queued before it at the
+	// endpoint.
+	prefillTokens int
+	begun         bool
 }
 
-// stream delivers events until the whole end.
-func (u *run) stream(ctx context.Context, s Stream) error {
+// stream delivers events until the end of the answer.
+func (u *decodeAttempt) stream(ctx context.Context, s Stream) error {
 	g := u.g
 	if a := s.Failed(); a != nil {
-		g.failed = a
+		g.failedAnswer = a
 		return errFailed.New("the endpoint reports a failure")
 	}
 	for {
@@ -44,89 +45,87 @@
 		if err != nil {
 			return err
 		}
-		if u.givenUp() {
-			return ErrLost.New("the first event came after the attempt was given up")
+		if u.abandoned() {
+			return ErrLost.New("the first event arrived after the attempt was abandoned")
 		}
-		u.first()
-		u.w.rest()
-		if err := g.deliver(ctx, s, ev, u.at); err != nil {
+		u.learnFirstEvent()
+		u.watchdog.pause()
+		if err := g.deliver(ctx, s, ev, u.endpoint); err != nil {
 			return err
 		}
-		u.heard()
+		u.onEvent()
 	}
 }
 
-// givenUp reports whether the attempt was ended before the caller got anything.
+// abandoned reports whether the watchdog ended the attempt before the caller received
+// anything.
 //
-// An event is read that was on its way when the attempt
-// was ended, and the answer begins for want of anything more to come. It shows as
-// an answer that is cut in the middle instead of a failure or another attempt. The
-// guard holds because nothing begins after the verdict.
-func (u *run) givenUp() bool { return !u.g.begun && u.w.verdict() != undecided }
+// An event may be in flight when the attempt is abandoned. Delivering it would begin an
+// answer that is then truncated, where a failure or another attempt is still possible.
+func (u *decodeAttempt) abandoned() bool { return !u.g.begun && u.watchdog.verdict() != undecided }
 
-// heard notes an event.
-func (u *run) heard() {
-	u.prompt.End()
+// onEvent accounts for a delivered event and resets the watchdog.
+func (u *decodeAttempt) onEvent() {
+	u.prefillWork.End()
 	u.work.Grow(Load{KV: u.g.c.stride()})
-	if u.g.mayFollow() {
-		u.w.heard(u.g.eventLimits(u.at))
+	if u.g.mayContinueElsewhere() {
+		u.watchdog.reset(u.g.eventLimits(u.endpoint))
 	} else {
-		u.w.stop()
+		u.watchdog.stop()
 	}
 }
 
-// first learns from the first event.
-func (u *run) first() {
+// learnFirstEvent updates the estimates with the time to the first event.
+func (u *decodeAttempt) learnFirstEvent() {
 	if u.begun {
 		return
 	}
 	u.begun = true
 	u.learn(func(m *estimate.Engines, took time.Duration) {
 		if u.result != nil {
-			m.Begun(u.far(), took)
+			m.Begun(u.remoteDC(), took)
 			return
 		}
-		m.BegunAlone(u.tokens, took)
+		m.BegunAlone(u.prefillTokens, took)
 	})
 }
 
-// lost learns from an attempt that hung before its first event.
-func (u *run) lost() {
-	if u.begun || u.w.verdict() != hanging {
+// learnTimeout updates the estimates with the time waited in vain, if the endpoint hung
+// before its first event.
+func (u *decodeAttempt) learnTimeout() {
+	if u.begun || u.watchdog.verdict() != hanging {
 		return
 	}
 	u.learn(func(m *estimate.Engines, took time.Duration) {
 		if u.result != nil {
-			m.BeginLost(u.far(), took)
+			m.BeginLost(u.remoteDC(), took)
 			return
 		}
-		m.AloneLost(u.tokens, took)
+		m.AloneLost(u.prefillTokens, took)
 	})
 }
 
-// learn changes the model of the service's engines. A cached prompt tells
-// nothing of the usual time.
-func (u *run) learn(change func(m *estimate.Engines, took time.Duration)) {
-	if u.warm || u.g.r.gated() {
+// learn updates the estimates of the service's engines. A cached prompt says nothing
+// about the usual times.
+func (u *decodeAttempt) learn(change func(m *estimate.Engines, took time.Duration)) {
+	if u.warm || u.g.r.usesAgents() {
 		return
 	}
-	took := time.Since(u.sent)
+	took := time.Since(u.sentAt)
 	u.g.r.loads.Learn(u.g.c.Service, func(m *estimate.Engines) { change(m, took) })
 }
 
-// unsent tells what a watch ended while the connection still stood not: the
-// endpoint was not even asked.
+// asUnreachable turns the error of an attempt that the watchdog ended while it was still
+// connecting into ErrUnreachable.
 //
-// An engine went dark and takes no connection. The
-// watch finds out sooner than the dial gives up, and what was never sent counts
-// as an arrival, or as a run that may not be repeated. It shows as refusals for
-// want of retries. The guard holds because such an attempt is told apart by its
-// error.
-func unsent(found func() verdict, err error) error {
+// When an engine accepts no connection, the watchdog fires before the dial times out.
+// Nothing was sent, so the attempt must not count as an arrival, nor as a run that may
+// not be repeated. Otherwise requests are refused because the retry budget is exhausted.
+func asUnreachable(found func() verdict, err error) error {
 	if found() != undecided && errorx.IsOfType(err, ErrNotRun) && !errorx.IsOfType(err, ErrUnreachable) {
-		return ErrUnreachable.Wrap(err, "given up while connecting")
+		return ErrUnreachable.Wrap(err, "abandoned while connecting")
 	}
 	return err
 }
 
-func (u *run) far() bool { return u.result.Endpoint.DataCentre != u.at.DataCentre }
+func (u *decodeAttempt) remoteDC() bool { return u.result.Endpoint.DataCentre != u.endpoint.DataCentre }
--- a/router/stages.go
+++ b/router/stages.go
@@ -14,76 +14,76 @@
 )
 
 const (
-	// switchDefault is the time of a change where none is published.
-	switchDefault = 6 * time.Second
-	// startShare is the part of a service's engines, rounded up, that are left to
-	// prefill until demand was observed; what is observed corrects it.
-	startShare = 0.25
-	// answerWait is how long an engine's answers may take to end before it
-	// changes: the time limit of a patient caller.
-	answerWait = 14 * time.Second
-	// orderTimeout bounds an order. One without an answer may have been
-	// accepted; the engine's published stage tells.
+	// defaultSwitchTime is the duration of a stage switch if none is published.
+	defaultSwitchTime = 6 * time.Second
+	// initialPrefillFraction is the fraction of a service's engines, rounded up, that stay
+	// prefill engines before any demand was observed. Observed demand corrects it.
+	initialPrefillFraction = 0.25
+	// answerDrainTime is how long an engine's running answers may take to end before it
+	// switches: the timeout of a patient caller.
+	answerDrainTime = 14 * time.Second
+	// orderTimeout bounds the sending of an order. An order without an answer may have
+	// been accepted; the published stage of the engine shows whether it was.
 	orderTimeout = time.Second
-	// stagesInterval is the pause between two looks.
-	stagesInterval = 500 * time.Millisecond
-	// changingBacklog is the work, in tokens, that an ordered engine is said to
-	// have in either stage, so that no entry sends it anything new.
-	changingBacklog = 10_000_000
+	// balanceInterval is the time between two checks of the balance.
+	balanceInterval = 500 * time.Millisecond
+	// switchingBacklog is the load, in tokens, that an engine is accounted with in both
+	// stages while it switches, so that no entry sends it new work.
+	switchingBacklog = 10_000_000
 )
 
-// Authority says whether this process may give orders, and with which fencing
-// number; numbers grow with time over all processes.
+// Authority reports whether this process may give orders, and its fencing number. Fencing
+// numbers increase over time across all processes.
 type Authority func() (fence uint64, ok bool)
 
-// stageKeeper balances the engines of one service.
-type stageKeeper struct {
-	usual usualSize
-	// last are the last orders, given together.
-	last []*stageOrder
+// stageBalancer balances the stages of one service.
+type stageBalancer struct {
+	peak recentPeak
+	// orders holds the most recent orders, which were given together.
+	orders []*switchOrder
 }
 
-// stageOrder is an order under way, or the last one.
-type stageOrder struct {
+// switchOrder is an order to an engine to switch its stage.
+type switchOrder struct {
 	endpoint string
 	to       Role
 	at       time.Time
-	// work keeps new work away from the engine until it has changed.
+	// work keeps new work away from the engine until it has switched.
 	work *Work
 	done bool
 }
 
-// KeepStages orders engines from one stage to the other until ctx ends, while
-// this process has the authority.
-func (r *Router) KeepStages(ctx context.Context, may Authority) error {
-	keepers := make(map[string]*stageKeeper)
-	for ebonypulley.Sleep(ctx, stagesInterval) {
+// KeepStages balances the stages of all services until ctx ends, whenever this process
+// has the authority.
+func (r *Router) KeepStages(ctx context.Context, authority Authority) error {
+	balancers := make(map[string]*stageBalancer)
+	for ebonypulley.Sleep(ctx, balanceInterval) {
 		now := time.Now()
 		for name, s := range r.Directory().services {
 			if s.Engine == nil {
 				continue
 			}
-			if keepers[name] == nil {
-				keepers[name] = new(stageKeeper)
+			if balancers[name] == nil {
+				balancers[name] = new(stageBalancer)
 			}
-			r.keepStages(ctx, now, keepers[name], s, may)
+			r.balanceStages(ctx, now, balancers[name], s, authority)
 		}
 	}
 	return nil
 }
 
-// keepStages looks at one service and gives at most one order.
-func (r *Router) keepStages(ctx context.Context, now time.Time, k *stageKeeper, s *Service, may Authority) {
+// balanceStages checks one service and gives at most one group of orders.
+func (r *Router) balanceStages(ctx context.Context, now time.Time, b *stageBalancer, s *Service, authority Authority) {
 	d := r.Directory()
 	prefills, decodes := d.Endpoints(s.Name, Prefill), d.Endpoints(s.Name, Decode)
-	fence, ok := may()
-	if !ok || !k.settled(now, d, s) {
+	fence, ok := authority()
+	if !ok || !b.settled(now, d, s) {
 		return
 	}
-	if k.usual.see(now, len(prefills)+len(decodes)) > len(prefills)+len(decodes) {
-		return // some are away and will be back
+	if b.peak.observe(now, len(prefills)+len(decodes)) > len(prefills)+len(decodes) {
+		return // some engines are away temporarily
 	}
-	n, load := r.shifts(now, s, len(prefills), len(decodes))
+	n, load := r.stageMoves(now, s, len(prefills), len(decodes))
 	if n == 0 {
 		return
 	}
@@ -91,21 +91,21 @@
 	if n > 0 {
 		from, to = decodes, Prefill
 	}
-	k.last = nil
+	b.orders = nil
 	for range max(n, -n) {
 		e := r.leastBusy(now, from)
 		from = slices.DeleteFunc(slices.Clone(from), func(o *Endpoint) bool { return o.ID == e.ID })
-		k.last = append(k.last, r.order(ctx, e, to, fence, load))
+		b.orders = append(b.orders, r.order(ctx, e, to, fence, load))
 	}
 }
 
-// settled reports whether the last orders have had their effect: an engine first
-// lets its answers end, then changes.
-func (k *stageKeeper) settled(now time.Time, d *Directory, s *Service) bool {
+// settled reports whether the last orders have taken effect. An engine first finishes its
+// running answers, then switches.
+func (b *stageBalancer) settled(now time.Time, d *Directory, s *Service) bool {
 	settled := true
-	for _, o := range k.last {
+	for _, o := range b.orders {
 		age := now.Sub(o.at)
-		if !o.done && (o.hasChanged(d, s) || age > s.Engine.switchTime()+answerWait) {
+		if !o.done && (o.hasSwitched(d, s) || age > s.Engine.switchTime()+answerDrainTime) {
 			o.done = true
 			o.work.End()
 		}
@@ -114,8 +114,8 @@
 	return settled
 }
 
-// hasChanged reports whether the engine is in its new stage, or gone.
-func (o *stageOrder) hasChanged(d *Directory, s *Service) bool {
+// hasSwitched reports whether the engine has reached its new stage or is gone.
+func (o *switchOrder) hasSwitched(d *Directory, s *Service) bool {
 	for _, e := range d.endpoints[s.Name] {
 		if e.ID == o.endpoint {
 			return e.Role == o.to
@@ -124,31 +124,31 @@
 	return true
 }
 
-// shifts is the change that the demand asks for, or the share that a deployment
-// starts with while nothing has come.
-func (r *Router) shifts(now time.Time, s *Service, prefills, decodes int) (int, stageLoad) {
+// stageMoves returns the number of engines to switch for the current demand, or for the
+// initial stage sizes while there is none.
+func (r *Router) stageMoves(now time.Time, s *Service, prefills, decodes int) (int, stageLoad) {
 	d, seen := r.loads.demand(now, s.Name)
 	m := r.loads.Engines(s)
 	load := d.load(&m, s.Engine)
 	switch {
 	case d.Calls == 0:
-		return min(int(math.Ceil(startShare*float64(prefills+decodes)))-prefills, 0), load
-	case seen < demandLeast || m.Prompts() < promptLeast:
+		return min(int(math.Ceil(initialPrefillFraction*float64(prefills+decodes)))-prefills, 0), load
+	case seen < minDemandTime || m.Prompts() < minPrefills:
 		return 0, load
 	}
-	return load.shifts(prefills, decodes), load
+	return load.moves(prefills, decodes), load
 }
 
-// switchTime is how long an engine takes to change its stage.
+// switchTime returns how long an engine takes to switch its stage.
 func (e *Engine) switchTime() time.Duration {
 	if e.StageSwitch > 0 {
 		return e.StageSwitch
 	}
-	return switchDefault
+	return defaultSwitchTime
 }
 
-// leastBusy returns the engine of the data centre that has the most of them
-// with the least work there.
+// leastBusy returns the engine with the least work in the data centre that has the most
+// of these engines.
 func (r *Router) leastBusy(now time.Time, list []*Endpoint) *Endpoint {
 	list = append([]*Endpoint(nil), list...)
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
@@ -169,27 +169,27 @@
 	return best
 }
 
-// usualFor is how long engines that are gone still count: longer than a crash
-// and its restart take. While some are away, nothing is ordered.
-const usualFor = 15 * time.Second
+// peakTTL is how long engines that disappeared still count. It exceeds the time of a
+// crash and restart. Nothing is ordered while some engines are missing.
+const peakTTL = 15 * time.Second
 
-// usualSize is the most engines that a service had lately.
-type usualSize struct {
+// recentPeak is the highest number of engines that a service had recently.
+type recentPeak struct {
 	engines int
 	at      time.Time
 }
 
-func (u *usualSize) see(now time.Time, engines int) int {
-	if engines >= u.engines || now.Sub(u.at) > usualFor {
+func (u *recentPeak) observe(now time.Time, engines int) int {
+	if engines >= u.engines || now.Sub(u.at) > peakTTL {
 		u.engines, u.at = engines, now
 	}
 	return u.engines
 }
 
-// order gives one order and keeps work away from the engine meanwhile.
-func (r *Router) order(ctx context.Context, e *Endpoint, to Role, fence uint64, why stageLoad) *stageOrder {
-	o := &stageOrder{endpoint: e.ID, to: to, at: time.Now()}
-	o.work = r.loads.Begin(e.ID, Load{Prefill: changingBacklog, KV: changingBacklog})
+// order sends one order and keeps new work away from the engine until it has switched.
+func (r *Router) order(ctx context.Context, e *Endpoint, to Role, fence uint64, load stageLoad) *switchOrder {
+	o := &switchOrder{endpoint: e.ID, to: to, at: time.Now()}
+	o.work = r.loads.Begin(e.ID, Load{Prefill: switchingBacklog, KV: switchingBacklog})
 	octx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	err := r.endpoints.Order(octx, e, to, fence)
@@ -204,6 +204,6 @@
 	d := r.Directory()
 	r.log.Emit(number, zap.String("endpoint", e.ID), zap.Uint64("fence", fence),
 		zap.Int("prefill", len(d.Endpoints(e.Service, Prefill))), zap.Int("decode", len(d.Endpoints(e.Service, Decode))),
-		zap.Float64("prefill_demand", why.prefill), zap.Float64("decode_demand", why.decode))
+		zap.Float64("prefill_demand", load.prefill), zap.Float64("decode_demand", load.decode))
 	return o
 }
--- a/router/stages_test.go
+++ b/router/stages_test.go
@@ -16,10 +16,10 @@
 	return context.WithCancel(t.Context())
 }
 
-// TestSurplusIsOrdered: drafts wait for memory while prefill engines idle. One
-// entry orders those beyond their share to decode, each once, and sends them
-// no prompts meanwhile; without the authority it orders none.
-func TestSurplusIsOrdered(t *testing.T) {
+// TestSurplusPrefillEnginesSwitch: while generations wait for memory and prefill engines
+// idle, one entry must order the surplus engines to decode, each once, and send them no
+// prompts meanwhile. Without the authority it must order none.
+func TestSurplusPrefillEnginesSwitch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{}
 		var list []*router.Endpoint
@@ -34,17 +34,17 @@
 		var may atomic.Bool
 		go func() { _ = r.KeepStages(ctx, func() (uint64, bool) { return 7, may.Load() }) }()
 		time.Sleep(5 * time.Second)
-		assert.Empty(t, f.notes())
+		assert.Empty(t, f.recorded())
 		may.Store(true)
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, []string{"order p1 7"}, f.notes())
+		assert.Equal(t, []string{"order p1 7"}, f.recorded())
 		cancel()
 		time.Sleep(30 * time.Second)
 	})
 }
 
-// TestCrashKeepsStages: after a crash of some engines the prefill stage stays
-// too small for good. Engines that are away for a while still count.
+// TestCrashKeepsStages: engines that are missing for a while must still count. Otherwise
+// the prefill stage stays too small for good after some engines crash.
 func TestCrashKeepsStages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{}
@@ -58,7 +58,7 @@
 		time.Sleep(2 * time.Second)
 		r.SetDirectory(router.NewDirectory(2, 0, nil, []*router.Service{llm}, all[:6]))
 		time.Sleep(10 * time.Second)
-		assert.Empty(t, f.notes())
+		assert.Empty(t, f.recorded())
 		cancel()
 		time.Sleep(30 * time.Second)
 	})
--- a/router/stream.go
+++ b/router/stream.go
@@ -15,229 +15,228 @@
 	p := a.placement
 	if !g.r.usable(p.decode) {
 		g.tried[p.decode.ID] = true
-		return ErrUnreachable.New("%s left during the prefill", p.decode.ID)
+		return ErrUnreachable.New("endpoint %s left during the prefill", p.decode.ID)
 	}
-	if err := g.spend(); err != nil {
+	if err := g.chargeArrival(); err != nil {
 		return err
 	}
 	attempt, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w := g.r.watch(p.decode, usual(g.untilFirst(p, start), g.callerLeft(time.Now())), cancel)
+	w := g.r.startWatchdog(p.decode, stepLimits(g.timeToFirstEvent(p, start), g.callerTimeLeft(time.Now())), cancel)
 	defer w.stop()
-	start.Connected = func() { g.connected(w) }
-	err := unsent(w.verdict, g.exchange(attempt, p, start, w, a.work))
-	g.arrived(err)
-	a.permits.decode.sent(err)
+	start.Connected = func() { g.onConnected(w) }
+	err := asUnreachable(w.verdict, g.exchange(attempt, p, start, w, a.work))
+	g.refundUnreached(err)
+	a.permits.decode.markSent(err)
 	if !errorx.IsOfType(err, ErrNotRun) {
 		g.runs++
 	}
 	if err != nil {
 		return g.decodeFailed(ctx, p.decode, w.verdict(), err)
 	}
-	g.r.loads.Succeeded(time.Now(), p.decode.ID)
+	g.r.loads.RecordSuccess(time.Now(), p.decode.ID)
 	return nil
 }
 
-// connected ends the watch of a run that neither this entry nor the caller may
-// follow by another.
+// onConnected stops the watchdog of a run that neither this entry nor the caller may
+// repeat elsewhere.
 //
-// Thousands of routes come into force on a small VM, and
-// the process is so busy that an engine's answer to the question whether it lives
-// comes too late to be read in time. It shows as a letter that is cut although its
-// engine goes on. The guard holds because ending such a run gains nothing; an
-// engine that takes no connection is still left for another, and one whose VM is
-// gone is found by the kernel.
-func (g *generationRun) connected(w *watch) {
+// Abandoning such a run gains nothing, and the watchdog can be wrong: while a small VM
+// applies thousands of new routes, its process may be too busy to read the engine's
+// answer to a health probe in time, and would cut off an answer that the engine still
+// generates. Before the connection is established, an unreachable engine is still
+// replaced by another; afterwards the kernel's keep-alive detects a VM that is gone.
+func (g *generationRun) onConnected(w *watchdog) {
 	if !g.c.Route.Resumable {
 		w.stop()
 	}
 }
 
-// untilFirst estimates the time from sending a generation to its first event.
-func (g *generationRun) untilFirst(p placement, start Start) estimate.Time {
+// timeToFirstEvent estimates the time from sending a generation to its first event.
+func (g *generationRun) timeToFirstEvent(p placement, start Start) estimate.Time {
 	if start.Result == nil {
-		return p.first
+		return p.firstEvent
 	}
 	m := g.r.loads.Engines(g.c.Service)
-	return m.Handoff(start.Result.Endpoint.DataCentre != p.decode.DataCentre, g.c.promise())
+	return m.Handoff(start.Result.Endpoint.DataCentre != p.decode.DataCentre, g.c.slo())
 }
 
-// eventLimits are how long the next event of a stream may take that can go on
-// elsewhere. An engine that lives is given up only when another can just bring an
-// event before the caller leaves.
-func (g *generationRun) eventLimits(at *Endpoint) limits {
+// eventLimits returns the silence limits for the next event of a stream that may continue
+// elsewhere. A live engine is abandoned only when there is just enough time for another
+// one to send an event before the caller leaves.
+func (g *generationRun) eventLimits(at *Endpoint) silenceLimits {
 	m := g.r.loads.Engines(g.c.Service)
 	v := g.r.loads.View(time.Now(), at.ID)
-	pause := m.Pause(v.Decodes, g.c.promise()).Times(v.Pace)
-	l := limits{suspect: max(2*pause.High(), suspectAfter)}
-	another := m.Alone(g.c.Prompt, g.c.Prompt, g.c.promise()).High()
-	l.most = max(g.patience()-another, hangFactor*l.suspect)
+	gap := m.Pause(v.Decodes, g.c.slo()).Times(v.StepSlowdown)
+	l := silenceLimits{probeAfter: max(2*gap.High(), minProbeAfter)}
+	another := m.Alone(g.c.Prompt, g.c.Prompt, g.c.slo()).High()
+	l.giveUpAfter = max(g.silenceTimeout()-another, hangFactor*l.probeAfter)
 	return l
 }
 
-// callerLeft is how long the caller still waits for an event.
-func (g *generationRun) callerLeft(now time.Time) time.Duration {
+// callerTimeLeft returns how much longer the caller waits for an event.
+func (g *generationRun) callerTimeLeft(now time.Time) time.Duration {
 	since := g.c.Began
-	if !g.last.IsZero() {
-		since = g.last
+	if !g.lastEventAt.IsZero() {
+		since = g.lastEventAt
 	}
-	return since.Add(g.patience()).Sub(now)
+	return since.Add(g.silenceTimeout()).Sub(now)
 }
 
-// patience is the longest silence that the caller bears.
-func (g *generationRun) patience() time.Duration {
+// silenceTimeout returns the silence after which the caller leaves.
+func (g *generationRun) silenceTimeout() time.Duration {
 	if p := g.c.Route.Patience; p > 0 {
 		return p
 	}
-	return patienceTargets * g.c.Route.Target
+	return silenceTimeoutTargets * g.c.Route.Target
 }
 
-// patienceTargets is the silence that callers bear, in targets, where nothing
-// else is known.
-const patienceTargets = 4
+// silenceTimeoutTargets is the silence after which callers leave, in latency targets, if
+// the route does not say.
+const silenceTimeoutTargets = 4
 
-// exchange starts the generation and delivers its events. An endpoint that
-// computes the prompt itself counts as busy with it until the first event.
-func (g *generationRun) exchange(ctx context.Context, p placement, start Start, w *watch, work *Work) error {
-	run := &run{g: g, at: p.decode, w: w, work: work, warm: p.warm, result: start.Result, sent: time.Now()}
-	run.tokens = g.r.loads.View(run.sent, p.decode.ID).Prefill + g.c.Prompt
-	run.prompt = g.r.loads.Begin(p.decode.ID, Load{})
+// exchange starts the generation and delivers its events. If the endpoint prefills the
+// prompt itself, that counts as its work until the first event.
+func (g *generationRun) exchange(ctx context.Context, p placement, start Start, w *watchdog, work *Work) error {
+	run := &decodeAttempt{g: g, endpoint: p.decode, watchdog: w, work: work, warm: p.warm, result: start.Result, sentAt: time.Now()}
+	run.prefillTokens = g.r.loads.View(run.sentAt, p.decode.ID).Prefill + g.c.Prompt
+	run.prefillWork = g.r.loads.Begin(p.decode.ID, Load{})
 	if start.Result == nil {
-		run.prompt.Grow(Load{Prefill: g.c.Prompt})
+		run.prefillWork.Grow(Load{Prefill: g.c.Prompt})
 	}
-	defer run.prompt.End()
+	defer run.prefillWork.End()
 	s, err := g.r.endpoints.Generate(ctx, p.decode, g.c, start)
-	at, events := run.sent, g.events
+	at, events := run.sentAt, g.events
 	if err == nil {
 		defer s.Close()
-		at = time.Now() // the head tells that it runs
+		at = time.Now() // the head shows that it runs
 		err = run.stream(ctx, s)
 	}
-	run.lost()
+	run.learnTimeout()
 	if ctx.Err() == nil || w.verdict() == gone {
-		g.r.lostAt(g.c, poison.Attempt{Lasted: time.Since(at), Ran: g.events-events > startEvents}, p.decode, err)
+		g.r.recordIfCrashed(g.c, poison.Attempt{Lasted: time.Since(at), Ran: g.events-events > minRunEvents}, p.decode, err)
 	}
 	return err
 }
 
-// decodeFailed records what a failed attempt shows of its endpoint.
+// decodeFailed records a failed attempt in the endpoint's health and returns its final
+// error.
 func (g *generationRun) decodeFailed(ctx context.Context, e *Endpoint, v verdict, err error) error {
 	g.warm = g.stillWarm(e, v, err)
 	g.tried[e.ID] = g.warm == nil
 	switch {
 	case v != undecided:
-		g.r.loads.Silent(time.Now(), e.ID)
+		g.r.loads.RecordUnresponsive(time.Now(), e.ID)
 		if errorx.IsOfType(err, ErrNotRun) {
-			return err // it took no connection, see unsent
+			return err // it accepted no connection, see asUnreachable
 		}
-		return ErrLost.Wrap(err, "%s was silent", e.ID)
+		return ErrLost.Wrap(err, "endpoint %s stopped responding", e.ID)
 	case ctx.Err() != nil || errorx.IsOfType(err, ErrCaller):
 	case unanswered(err):
 		g.r.avoid(time.Now(), e, err)
 	default:
-		g.r.loads.Failed(time.Now(), e.ID)
+		g.r.loads.RecordFailure(time.Now(), e.ID)
 	}
 	return err
 }
 
-// stillWarm returns the endpoint of an answer that broke off, if the next
-// attempt should go there again.
+// stillWarm returns the endpoint of a stream that broke off if the next attempt should go
+// to it again, or nil.
 //
-// Connections are reset in the middle of answers while
-// their engines live. Such an engine still caches the prompt, so that going on
-// there costs no prefill.
+// Connections are reset in the middle of answers while their engines keep running. Such
+// an engine still caches the prompt, so that resuming there needs no prefill.
 func (g *generationRun) stillWarm(e *Endpoint, v verdict, err error) *Endpoint {
-	if g.r.gated() || g.warm != nil || v != undecided || !errorx.IsOfType(err, ErrLost) || !g.begun {
+	if g.r.usesAgents() || g.warm != nil || v != undecided || !errorx.IsOfType(err, ErrLost) || !g.begun {
 		return nil
 	}
 	return e
 }
 
-// mayFollow reports whether the present run may be followed by another.
+// mayContinueElsewhere reports whether the current run may be followed by another one.
 //
-// An engine preempts an answer for longer than its
-// events are waited for, and the answer may not go on elsewhere. It shows as an
-// answer that is cut although its engine is well. The guard holds because the
-// silence of such a run ends nothing; the caller's time limit does, or the
-// kernel when the engine's VM is gone.
-func (g *generationRun) mayFollow() bool {
-	most := g.c.Route.MaxAttempts
-	return g.c.Route.Resumable && (most == 0 || g.runs+1 < most)
+// If not, a long silence must not end it: an engine may preempt an answer for longer than
+// its events are waited for, and the caller would get a truncated answer from a healthy
+// engine. Such a run ends with the caller's timeout, or by the kernel's keep-alive when
+// the engine's VM is gone.
+func (g *generationRun) mayContinueElsewhere() bool {
+	maxAttempts := g.c.Route.MaxAttempts
+	return g.c.Route.Resumable && (maxAttempts == 0 || g.runs+1 < maxAttempts)
 }
 
-// begin delivers the head once; a resumed answer keeps its first one.
+// begin delivers the head once. A resumed answer keeps its first head.
 func (g *generationRun) begin(s Stream) error {
 	if g.begun {
 		return nil
 	}
 	g.begun = true
-	g.late.begun = true
-	g.first = time.Since(g.c.Began)
-	g.r.metrics.Histogram("ttft." + g.c.class()).Record(g.first)
+	g.policy.begun = true
+	g.ttft = time.Since(g.c.Began)
+	g.r.metrics.Histogram("ttft." + g.c.class()).Record(g.ttft)
 	return g.sink.Begin(s.Head())
 }
 
-// deliver hands on an event that the caller does not have: numbers decide,
-// never arrival, because an endpoint may repeat some after a resume.
+// deliver passes on an event unless the caller has it already. Event numbers decide,
+// because an endpoint may repeat events after a resume.
 func (g *generationRun) deliver(ctx context.Context, s Stream, ev Event, at *Endpoint) error {
-	if ev.Number != NoNumber && ev.Number <= g.after {
+	if ev.Number != NoNumber && ev.Number <= g.lastEvent {
 		return nil
 	}
 	if err := g.begin(s); err != nil {
 		return err
 	}
-	if err := g.put(ctx, ev); err != nil {
+	if err := g.send(ctx, ev); err != nil {
 		return err
 	}
-	g.paced(ev, at)
+	g.recordGap(ev, at)
 	if ev.Number != NoNumber {
-		g.after = ev.Number
+		g.lastEvent = ev.Number
 	}
 	return nil
 }
 
-// put hands an event to the caller. Behind gates it waits there while the caller is slow.
-func (g *generationRun) put(ctx context.Context, ev Event) error {
-	if g.r.gated() {
+// send passes an event to the caller. With agents it blocks while the caller is slow.
+func (g *generationRun) send(ctx context.Context, ev Event) error {
+	if g.r.usesAgents() {
 		return g.sink.Event(ev)
 	}
-	if g.out == nil {
-		g.out = newDelivery(g.sink)
+	if g.delivery == nil {
+		g.delivery = newDelivery(g.sink)
 	}
-	return g.out.put(ctx, ev)
+	return g.delivery.put(ctx, ev)
 }
 
-// paced records the time between two events, for each number that they are
-// apart: the time between tokens where events are numbered by them.
-func (g *generationRun) paced(ev Event, at *Endpoint) {
+// recordGap records the gap between two events divided by the difference of their
+// numbers. Where events are numbered by token, that is the time between tokens.
+func (g *generationRun) recordGap(ev Event, at *Endpoint) {
 	now := time.Now()
 	g.events++
-	if !g.last.IsZero() && ev.Number > g.after {
-		g.pause = now.Sub(g.last)
-		g.longest = max(g.longest, g.pause)
-		g.r.metrics.Histogram("tbt." + g.c.class()).Record(g.pause / time.Duration(ev.Number-max(g.after, 0)))
+	if !g.lastEventAt.IsZero() && ev.Number > g.lastEvent {
+		g.gap = now.Sub(g.lastEventAt)
+		g.longestGap = max(g.longestGap, g.gap)
+		g.r.metrics.Histogram("tbt." + g.c.class()).Record(g.gap / time.Duration(ev.Number-max(g.lastEvent, 0)))
 	}
-	g.last = now
-	g.learnPause(now, at)
+	g.lastEventAt = now
+	g.learnGap(now, at)
 }
 
-// learnPause records the last pause. Whether a prompt was computed at both its
-// ends or at neither tells of which kind it is.
-func (g *generationRun) learnPause(now time.Time, at *Endpoint) {
-	if g.r.gated() {
+// learnGap updates the engine estimates with the last gap, if a prefill was in progress
+// at both ends of it or at neither. Otherwise it is unknown whether the prefill slowed it
+// down.
+func (g *generationRun) learnGap(now time.Time, at *Endpoint) {
+	if g.r.usesAgents() {
 		return
 	}
 	v := g.r.loads.View(now, at.ID)
-	before := g.disturbed
-	g.disturbed = v.Prefill > 0
-	if g.pause <= 0 || g.events < 2 || before != g.disturbed {
+	before := g.interfered
+	g.interfered = v.Prefill > 0
+	if g.gap <= 0 || g.events < 2 || before != g.interfered {
 		return
 	}
-	if !g.disturbed {
-		g.r.loads.Paused(now, at, g.c.Service, v.Decodes, g.pause)
+	if !g.interfered {
+		g.r.loads.RecordGap(now, at, g.c.Service, v.Decodes, g.gap)
 		return
 	}
 	g.r.loads.Learn(g.c.Service, func(m *estimate.Engines) {
-		m.Disturbed(v.Decodes, time.Duration(float64(g.pause)/v.Pace))
+		m.Disturbed(v.Decodes, time.Duration(float64(g.gap)/v.StepSlowdown))
 	})
 }
--- a/router/urgency_test.go
+++ b/router/urgency_test.go
@@ -10,15 +10,15 @@
 	"ebonypulley/router"
 )
 
-// TestUrgentBeforeOthers: reviews that are waited for are refused while the
-// same engines serve notes that nobody waits for. Twice as many generations
-// come as the engines have memory for, half of them on the less urgent route,
-// and what becomes free went to whoever looked first.
+// TestUrgentBeforeOthers: twice as many generations arrive as fit into the engines'
+// memory, half of them on a less urgent route. Memory that becomes free must not go to
+// whichever is placed first, because urgent ones would be refused while less urgent ones
+// are served.
 func TestUrgentBeforeOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{events: 30, pause: 100 * time.Millisecond}
 		r := newRouter(f, engine("p1", router.Prefill), engine("p2", router.Prefill), engine("d1", router.Decode), engine("d2", router.Decode))
-		urgent := draftRoute
+		urgent := resumableRoute
 		urgent.Name, urgent.Rank, urgent.Services = "urgent", 1, []router.Share{{Service: "llm", Weight: 1}}
 		other := urgent
 		other.Name, other.Rank = "other", 4
@@ -44,6 +44,6 @@
 		}
 		t.Logf("%d urgent and %d others of %d each", served["urgent"], served["other"], each)
 		assert.Greater(t, served["urgent"], served["other"]+each/10)
-		assert.NotZero(t, served["other"], "they are not starved")
+		assert.NotZero(t, served["other"], "less urgent generations are not starved")
 	})
 }
--- a/router/watch.go
+++ b/router/watch.go
@@ -10,93 +10,96 @@
 	"ebonypulley/estimate"
 )
 
-// An engine is silent for longer than
-// usual. Either it is gone, and each moment of waiting makes the caller late;
-// or it is slow, and a second try throws away what it did and makes it slower.
-// Silence does not tell which. So the endpoint is asked whether it lives, on a
-// connection of its own, and only one that does not answer is given up. One that
-// lives is waited for several times as long as the slowest usual one, because
-// it may have lost the request; what was waited in vain counts as an observation,
-// so that the next wait is longer and a slow fleet is never asked twice as often
-// as a fast one.
+// Detection of unresponsive endpoints.
+//
+// An engine that is silent for longer than expected is either gone, so that waiting makes
+// the caller late, or slow, so that a second attempt wastes its work and slows it down
+// further. Silence does not distinguish the two. So the endpoint is probed on a separate
+// connection, and is abandoned at once only if it does not answer. A live one may still
+// have lost the request, and is abandoned after several times the longest expected
+// duration. Such a wait counts as a censored observation that makes the next wait longer,
+// so that a slow fleet never gets twice as many requests as a fast one.
 const (
-	// wayTime is what the way to an endpoint and back may add to any time: a
-	// few round trips between data centres, and a busy process's own pauses.
-	wayTime = 50 * time.Millisecond
-	// aliveTimeout is how long an endpoint has to say that it lives. The
-	// question needs none of its slots.
-	aliveTimeout = 250 * time.Millisecond
-	// aliveAsks is how many such questions are asked at a time: one lost packet
-	// must not end an answer.
-	aliveAsks = 2
-	// hangFactor is how many times the longest usual time a living endpoint is
-	// waited for.
+	// networkAllowance is added to expected durations for the network path to an endpoint
+	// and back: a few round trips between data centres, and pauses of a busy process.
+	networkAllowance = 50 * time.Millisecond
+	// probeTimeout is how long an endpoint may take to answer a probe. Probes use none of
+	// its slots.
+	probeTimeout = 250 * time.Millisecond
+	// probeCount is the number of concurrent probes of one check, so that a lost packet
+	// does not end an answer.
+	probeCount = 2
+	// hangFactor is how long a live endpoint is waited for, as a multiple of the longest
+	// expected duration.
 	hangFactor = 3
-	// suspectAfter is the shortest pause between two events that is suspicious.
-	suspectAfter = 300 * time.Millisecond
+	// minProbeAfter is the shortest gap between two events after which an endpoint is
+	// probed.
+	minProbeAfter = 300 * time.Millisecond
 )
 
-// verdict is what a watch found.
+// verdict is the result of a watchdog.
 type verdict uint8
 
 const (
 	undecided verdict = iota
-	// gone: the endpoint does not answer at all.
+	// gone: the endpoint answers nothing.
 	gone
-	// hanging: it answers, but not this request.
+	// hanging: the endpoint answers probes, but not this request.
 	hanging
 )
 
-// limits are how long an endpoint may be silent.
-type limits struct {
-	// suspect is when it is asked whether it lives.
-	suspect time.Duration
-	// most is when it is given up though it lives; zero means never.
-	most time.Duration
+// silenceLimits bound the silence of an endpoint.
+type silenceLimits struct {
+	// probeAfter is the silence after which the endpoint is probed.
+	probeAfter time.Duration
+	// giveUpAfter is the silence after which a live endpoint is abandoned; zero means
+	// never.
+	giveUpAfter time.Duration
 }
 
-// usual returns the limits of a step with an estimate when the caller leaves
-// after left. A living endpoint is given up while there is time for another;
-// if there is none, as soon as the caller has left.
-func usual(t estimate.Time, left time.Duration) limits {
-	high := t.High() + wayTime
+// stepLimits returns the silence limits of a step with an estimated duration, given the
+// time until the caller leaves. A live endpoint is abandoned while there is time to try
+// another one, or if there is none, when the caller has left.
+func stepLimits(t estimate.Time, left time.Duration) silenceLimits {
+	high := t.High() + networkAllowance
 	if 2*high > left {
-		left = max(left, wayTime)
-		return limits{suspect: min(high, left), most: left}
+		left = max(left, networkAllowance)
+		return silenceLimits{probeAfter: min(high, left), giveUpAfter: left}
 	}
-	return limits{suspect: high, most: min(hangFactor*high, left-high)}
+	return silenceLimits{probeAfter: high, giveUpAfter: min(hangFactor*high, left-high)}
 }
 
-// watch ends an attempt whose endpoint is gone or hangs. A nil watch does
-// nothing: gates watch their endpoints themselves.
-type watch struct {
-	r   *Router
-	e   *Endpoint
-	end func()
-
-	mu    sync.Mutex
-	timer *time.Timer
-	since time.Time
-	limits
-	// turn counts what was heard, so that the answer to a question asked
-	// before counts no more.
-	turn    int
+// watchdog ends an attempt whose endpoint is gone or hangs. A nil watchdog does nothing;
+// it is used with agents, which watch their endpoints themselves.
+type watchdog struct {
+	r      *Router
+	e      *Endpoint
+	cancel func()
+
+	mu           sync.Mutex
+	timer        *time.Timer
+	lastActivity time.Time
+	silenceLimits
+	// epoch counts the signs of life, so that the result of a probe sent before the last
+	// one is ignored.
+	epoch   int
 	stopped bool
-	found   verdict
+	decided verdict
 }
 
-// watch begins to wait for an endpoint.
-func (r *Router) watch(e *Endpoint, l limits, end func()) *watch {
-	if r.gated() {
+// startWatchdog starts watching an endpoint. It calls end if the endpoint is gone or
+// hangs.
+func (r *Router) startWatchdog(e *Endpoint, l silenceLimits, end func()) *watchdog {
+	if r.usesAgents() {
 		return nil
 	}
-	w := &watch{r: r, e: e, end: end, since: time.Now(), limits: l}
-	w.timer = time.AfterFunc(l.suspect, w.suspicion)
+	w := &watchdog{r: r, e: e, cancel: end, lastActivity: time.Now(), silenceLimits: l}
+	w.timer = time.AfterFunc(l.probeAfter, w.onSilence)
 	return w
 }
 
-// heard tells of a sign of life; the next one has other limits.
-func (w *watch) heard(l limits) {
+// reset records a sign of life. The limits apply to the next one.
+func (w *watchdog) reset(l silenceLimits) {
 	if w == nil {
 		return
 	}
@@ -105,25 +108,25 @@
 	if w.stopped {
 		return
 	}
-	w.turn++
-	w.since = time.Now()
-	w.limits = l
-	w.timer.Reset(l.suspect)
+	w.epoch++
+	w.lastActivity = time.Now()
+	w.silenceLimits = l
+	w.timer.Reset(l.probeAfter)
 }
 
-// rest stops the watch until the next sign of life is told.
-func (w *watch) rest() {
+// pause suspends the watchdog until the next reset.
+func (w *watchdog) pause() {
 	if w == nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.turn++
+	w.epoch++
 	w.timer.Stop()
 }
 
-// stop ends the watch.
-func (w *watch) stop() {
+// stop ends the watchdog for good.
+func (w *watchdog) stop() {
 	if w == nil {
 		return
 	}
@@ -133,71 +136,71 @@
 	w.timer.Stop()
 }
 
-// verdict returns what ended the attempt.
-func (w *watch) verdict() verdict {
+// verdict returns why the watchdog ended the attempt, or undecided.
+func (w *watchdog) verdict() verdict {
 	if w == nil {
 		return undecided
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.found
+	return w.decided
 }
 
-// suspicion runs when the endpoint was silent for longer than usual.
-func (w *watch) suspicion() {
+// onSilence checks an endpoint that was silent for too long.
+func (w *watchdog) onSilence() {
 	w.mu.Lock()
-	turn, waited, most := w.turn, time.Since(w.since), w.most
+	epoch, waited, limit := w.epoch, time.Since(w.lastActivity), w.giveUpAfter
 	stopped := w.stopped
 	w.mu.Unlock()
 	if stopped {
 		return
 	}
-	if most > 0 && waited >= most {
-		w.conclude(turn, hanging)
+	if limit > 0 && waited >= limit {
+		w.conclude(epoch, hanging)
 		return
 	}
 	w.r.metrics.Add("endpoints_asked_alive", 1)
 	if !w.r.alive(w.e) {
-		w.conclude(turn, gone)
+		w.conclude(epoch, gone)
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.stopped || w.turn != turn {
+	if w.stopped || w.epoch != epoch {
 		return
 	}
-	next := time.Since(w.since) // as long again as so far
-	if most > 0 {
-		next = min(next, max(most-time.Since(w.since), 0))
+	next := time.Since(w.lastActivity) // doubles the total wait
+	if limit > 0 {
+		next = min(next, max(limit-time.Since(w.lastActivity), 0))
 	}
 	w.timer.Reset(next)
 }
 
-// conclude ends the attempt, unless something was heard meanwhile.
-func (w *watch) conclude(turn int, v verdict) {
+// conclude ends the attempt, unless there was a sign of life meanwhile.
+func (w *watchdog) conclude(epoch int, v verdict) {
 	w.mu.Lock()
-	if w.stopped || w.turn != turn {
+	if w.stopped || w.epoch != epoch {
 		w.mu.Unlock()
 		return
 	}
 	w.stopped = true
-	w.found = v
+	w.decided = v
 	w.mu.Unlock()
-	w.end()
+	w.cancel()
 }
 
-// alive reports whether an endpoint answers at all.
+// alive probes an endpoint and reports whether it answers at all.
 func (r *Router) alive(e *Endpoint) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), aliveTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	answers := make(chan error, aliveAsks)
-	for range aliveAsks {
+	answers := make(chan error, probeCount)
+	for range probeCount {
 		go func() { answers <- r.endpoints.Alive(ctx, e) }()
 	}
-	for range aliveAsks {
+	for range probeCount {
 		err := <-answers
 		if err == nil || errorx.IsOfType(err, ErrLost) && ctx.Err() == nil {
-			return true // a connection that was reset was reset by somebody
+			return true // a reset comes from a live host
 		}
 	}
 	return false
--- a/router/watch_test.go
+++ b/router/watch_test.go
@@ -12,36 +12,35 @@
 	"ebonypulley/router"
 )
 
-// TestSlowEngineIsAwaited: on a quiet day nobody's draft begins. The engines
-// take ten times as long as they did, each prefill is given up and sent to
-// another engine, which is then busy with two. One that says that it lives is
-// waited for.
-func TestSlowEngineIsAwaited(t *testing.T) {
+// TestSlowEngineIsWaitedFor: the engines take ten times as long as before, without load.
+// If each prefill is abandoned and sent to another engine, which is then busy with two,
+// no generation begins. An engine that answers probes must be waited for.
+func TestSlowEngineIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{prefill: func(ctx context.Context, _ *router.Endpoint) error {
 			select {
-			case <-time.After(300 * time.Millisecond): // beside the fake's own 100 ms
+			case <-time.After(300 * time.Millisecond): // in addition to the fake's own 100 ms
 				return nil
 			case <-ctx.Done():
 				return router.ErrLost.Wrap(ctx.Err(), "given up")
 			}
 		}}
 		r := newRouter(f, engine("p1", router.Prefill), engine("p2", router.Prefill), engine("d", router.Decode))
-		teach(r, 1)
+		trainEstimates(r, 1)
 		r.Loads().Begin("d", router.Load{Prefill: 20000})
 		s := new(fakeSink)
-		_, fail := r.Generate(t.Context(), newCall(draftRoute, llm), s)
+		_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), s)
 		assert.Nil(t, fail)
-		assert.Equal(t, whole, s.got)
-		assert.Equal(t, 1, count(f.notes(), "prefill"))
-		assert.Positive(t, count(f.notes(), "alive"), "it was asked whether it lives")
+		assert.Equal(t, allEvents, s.got)
+		assert.Equal(t, 1, count(f.recorded(), "prefill"))
+		assert.Positive(t, count(f.recorded(), "alive"), "the engine was probed")
 	})
 }
 
-// TestDeadEngineIsLeftAtOnce: drafts are late because a prefill engine went
-// dark with their prompts. It does not say that it lives, so another one is
-// asked while the draft can still be on time.
-func TestDeadEngineIsLeftAtOnce(t *testing.T) {
+// TestDeadEngineIsAbandoned: a prefill engine becomes unreachable during a prefill. As it
+// does not answer probes, another one must be tried while the first event can still be on
+// time.
+func TestDeadEngineIsAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dead := ""
 		f := &fakeEndpoints{
@@ -61,21 +60,20 @@
 			},
 		}
 		r := newRouter(f, engine("p1", router.Prefill), engine("p2", router.Prefill), engine("d", router.Decode))
-		teach(r, 1)
+		trainEstimates(r, 1)
 		r.Loads().Begin("d", router.Load{Prefill: 20000})
 		s := new(fakeSink)
-		c := newCall(draftRoute, llm)
+		c := newCall(resumableRoute, llm)
 		_, fail := r.Generate(t.Context(), c, s)
 		assert.Nil(t, fail)
 		assert.Less(t, s.first.Sub(c.Began), 580*time.Millisecond)
-		assert.True(t, r.Loads().View(time.Now(), dead).FailShare > 0)
+		assert.True(t, r.Loads().View(time.Now(), dead).FailureRate > 0)
 	})
 }
 
-// TestOneLostPacketEndsNothing: a stream is cut although its engine is well. It
-// paused for a second, and the question whether it lives lost its packet; the
-// second question is answered.
-func TestOneLostPacketEndsNothing(t *testing.T) {
+// TestOneLostProbeIsTolerated: a stream pauses for a second, and one probe of its healthy
+// engine is lost. As the other probe is answered, the stream must not be cut.
+func TestOneLostProbeIsTolerated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var asked atomic.Int32
 		f := &fakeEndpoints{longPause: time.Second, alive: func(ctx context.Context, _ *router.Endpoint) error {
@@ -86,23 +84,24 @@
 			return nil
 		}}
 		r := newRouter(f, engine("d1", router.Decode), engine("d2", router.Decode))
-		teach(r, 1)
+		trainEstimates(r, 1)
 		s := new(fakeSink)
-		_, fail := r.Generate(t.Context(), newCall(draftRoute, llm), s)
+		_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), s)
 		assert.Nil(t, fail)
-		assert.Equal(t, whole, s.got)
-		assert.Equal(t, 1, count(f.notes(), "generate"))
+		assert.Equal(t, allEvents, s.got)
+		assert.Equal(t, 1, count(f.recorded(), "generate"))
 		assert.Positive(t, asked.Load())
 	})
 }
 
-// TestDarkEngineDuringConnect: a letter is refused as if it had run. The engine
-// it was sent to went dark and takes no connection; it was given up before the
-// dial was, so that nothing of the letter was sent.
-func TestDarkEngineDuringConnect(t *testing.T) {
+// TestUnreachableDuringConnect: an engine becomes unreachable and accepts no connection,
+// and the watchdog ends the attempt before the dial times out. As nothing was sent, a
+// generation that is not resumable must be sent elsewhere instead of being refused as
+// possibly run.
+func TestUnreachableDuringConnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dead := ""
-		f := &fakeEndpoints{alive: func(context.Context, *router.Endpoint) error { return router.ErrUnreachable.New("dark") }}
+		f := &fakeEndpoints{alive: func(context.Context, *router.Endpoint) error { return router.ErrUnreachable.New("no answer") }}
 		f.connect = func(ctx context.Context, e *router.Endpoint) error {
 			if dead == "" {
 				dead = e.ID
@@ -115,43 +114,42 @@
 		}
 		r := newRouter(f, engine("p1", router.Prefill), engine("d1", router.Decode), engine("d2", router.Decode))
 		r.SetBudget(0, 10*time.Second, 0)
-		teach(r, 1)
+		trainEstimates(r, 1)
 		s := new(fakeSink)
-		_, fail := r.Generate(t.Context(), newCall(letterRoute, llm), s)
+		_, fail := r.Generate(t.Context(), newCall(nonResumableRoute, llm), s)
 		assert.Nil(t, fail)
-		assert.Equal(t, whole, s.got)
+		assert.Equal(t, allEvents, s.got)
 		assert.NotEmpty(t, dead)
 	})
 }
 
-// TestBusyEntryKeepsLetter: a letter is cut in the middle while thousands of routes
-// come into force at a small entry. The process is so busy that the engine's answer
-// to the question whether it lives is not read in time, and the letter is ended in
-// the moment in which its first event comes. Nothing may follow a letter, so that
-// ending it gains nothing: it ran for 0.16 s when it was cut.
-func TestBusyEntryKeepsLetter(t *testing.T) {
+// TestBusyEntryKeepsNonResumable: a small entry that applies thousands of new routes is
+// too busy to read the answer to a health probe in time. A generation that is not
+// resumable must not be ended by that, because nothing can follow it. One was cut in the
+// middle after running for 0.16 s, at the moment its first event came.
+func TestBusyEntryKeepsNonResumable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{firstAfter: 1500 * time.Millisecond, alive: func(context.Context, *router.Endpoint) error {
 			return router.ErrUnreachable.New("not answered in time")
 		}}
 		r := newRouter(f, engine("d1", router.Decode), engine("d2", router.Decode))
 		s := new(fakeSink)
-		_, fail := r.Generate(t.Context(), newCall(letterRoute, llm), s)
+		_, fail := r.Generate(t.Context(), newCall(nonResumableRoute, llm), s)
 		assert.Nil(t, fail)
-		assert.Equal(t, whole, s.got)
+		assert.Equal(t, allEvents, s.got)
 	})
 }
 
-// TestNothingBeginsAfterTheVerdict: the last attempt of a draft is given up before
-// its first event, which is on its way. Handed on, it would begin an answer that is
-// cut in the middle; the caller gets a failure, after which it may ask again.
-func TestNothingBeginsAfterTheVerdict(t *testing.T) {
+// TestNoEventAfterGiveUp: the last attempt of a generation is abandoned while its first
+// event is in flight. Delivering the event would begin an answer that is then truncated;
+// the caller must get a failure and may retry.
+func TestNoEventAfterGiveUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{firstAfter: 1500 * time.Millisecond, alive: func(context.Context, *router.Endpoint) error {
 			return router.ErrUnreachable.New("not answered in time")
 		}}
 		r := newRouter(f, engine("d1", router.Decode))
-		route := draftRoute
+		route := resumableRoute
 		route.MaxAttempts = 1
 		s := new(fakeSink)
 		_, fail := r.Generate(t.Context(), newCall(route, llm), s)
