--- a/router/admit.go
+++ b/router/admit.go
@@ -57,7 +57,7 @@
 }
 
 // permit obtains permits for the requests of a placement. An endpoint that is at its
-// announced limit is excluded until it accepts a request again.
+// advertised limit is excluded until it accepts a request again.
 func (g *generationRun) permit(now time.Time, p placement) (permits, bool) {
 	var list permits
 	var wait time.Duration
--- a/router/answer.go
+++ b/router/answer.go
@@ -9,8 +9,8 @@
 
 var (
 	routerErrors = errorx.NewNamespace("router")
-	// ErrNotRun is returned by Endpoints if the request provably did not run at the
-	// endpoint and never will.
+	// ErrNotRun means that the request provably did not run at the endpoint and never
+	// will.
 	ErrNotRun = routerErrors.NewType("not-run")
 	// ErrUnreachable is an ErrNotRun from an endpoint that accepted no connection, so that
 	// nothing was sent.
--- a/router/cached.go
+++ b/router/cached.go
@@ -140,7 +140,7 @@
 	return list
 }
 
-// sweep drops expired lists; c.mu must be held.
+// sweep drops expired lists. The caller holds c.mu.
 func (c *cacheIndex) sweep(now time.Time) {
 	if c.engines == nil {
 		c.engines = make(map[string]*cachedSessions)
--- a/router/generate_test.go
+++ b/router/generate_test.go
@@ -246,9 +246,9 @@
 	})
 }
 
-// TestEngineLeavesDuringPrefill: when the decode engine starts to drain during the
+// TestEngineDrainsDuringPrefill: when the decode engine starts to drain during the
 // prefill, the generation must start at another one.
-func TestEngineLeavesDuringPrefill(t *testing.T) {
+func TestEngineDrainsDuringPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{}
 		p, d1, d2 := engine("p", router.Prefill), engine("d1", router.Decode), engine("d2", router.Decode)
--- a/router/health.go
+++ b/router/health.go
@@ -129,8 +129,8 @@
 	l.avoidFor(now, h, goneAvoidTime)
 }
 
-// avoidFor records that this process itself found an endpoint unavailable; l.mu must be
-// held.
+// avoidFor records that this process itself found an endpoint unavailable. The caller
+// holds l.mu.
 func (l *Loads) avoidFor(now time.Time, h *health, duration time.Duration) {
 	h.unresponsiveAt = now
 	h.avoidUntil = now.Add(duration)
@@ -155,7 +155,7 @@
 
 // Avoided returns the endpoints that this process itself found unresponsive, gone or
 // failing, the newest observation first. It does not relay reports of others, which could
-// otherwise circulate for ever.
+// otherwise circulate endlessly.
 func (l *Loads) Avoided(now time.Time) []Avoided {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/router/learn.go
+++ b/router/learn.go
@@ -9,9 +9,9 @@
 // The speeds of engines are learned rather than configured. A figure that suits one
 // deployment makes the router at another abandon work in progress and send it again,
 // until all engines are busy with abandoned work. Package estimate learns the speed of a
-// service's engines; Loads learns how each engine compares with them.
+// service's engines; the code here also learns how each engine compares with the others.
 
-// engineModel returns the estimates for a service's engines; l.mu must be held.
+// engineModel returns the estimates for a service's engines. The caller holds l.mu.
 func (l *Loads) engineModel(s *Service) *estimate.Engines {
 	m := l.engineModels[s.Name]
 	if m == nil {
@@ -74,8 +74,8 @@
 	l.healthOf(now, e.ID).updateSlowdown(float64(took), m.Mean(0))
 }
 
-// callModel returns the estimate of a service's call duration in nanoseconds; l.mu must
-// be held.
+// callModel returns the estimate of a service's call duration in nanoseconds. The caller
+// holds l.mu.
 func (l *Loads) callModel(service string) *estimate.Mean {
 	m := l.callTimes[service]
 	if m == nil {
--- a/router/limit_test.go
+++ b/router/limit_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestRetryAfterEndpointLimit: a caller refused only because all engines are at their
-// announced limits must not be told to retry before one of them accepts a request.
+// advertised limits must not be told to retry before one of them accepts a request.
 func TestRetryAfterEndpointLimit(t *testing.T) {
 	for range 10 { // some are admitted by chance
 		synctest.Test(t, testRetryAfterEndpointLimit)
--- a/router/load.go
+++ b/router/load.go
@@ -121,7 +121,7 @@
 	l.peers.setReport(now, process, loads, demand)
 }
 
-// total returns the work of all processes at an endpoint; l.mu must be held.
+// total returns the work of all processes at an endpoint. The caller holds l.mu.
 func (l *Loads) total(now time.Time, endpoint string) Load {
 	return l.own[endpoint].add(l.peers.loadAt(now, endpoint))
 }
--- a/router/notice.go
+++ b/router/notice.go
@@ -9,15 +9,15 @@
 	"ebonypulley/quota"
 )
 
-// leavingTTL is how long a leaving endpoint is remembered after it was last published. A
-// store that recovers from an outage may list it again.
-const leavingTTL = 10 * time.Minute
+// drainingTTL is how long a draining endpoint is remembered after it was last published.
+// A store that recovers from an outage may list it again.
+const drainingTTL = 10 * time.Minute
 
-// Notice is what an endpoint announces about itself along with an answer.
+// Notice is what an endpoint advertises about itself along with an answer.
 type Notice struct {
 	// Asked is when the request was sent that it answers.
 	Asked time.Time
-	// Leaving says that the endpoint shuts down soon.
+	// Leaving says that the endpoint is draining and will soon exit.
 	Leaving bool
 	// Quiet is how long the endpoint accepts nothing from this process.
 	Quiet time.Duration
@@ -33,10 +33,10 @@
 	PerSecond float64
 }
 
-// Notice processes an endpoint's announcement.
+// Notice processes a notice from an endpoint.
 //
-// An announced shutdown takes effect at once for that incarnation, whatever is published.
-// During an outage of the store a leaving endpoint stays published as ready, and would
+// A draining endpoint gets no more work from then on, whatever is published about this
+// incarnation. During an outage of the store it stays published as ready, and would
 // otherwise get requests for seconds that are lost when it exits.
 func (r *Router) Notice(e *Endpoint, n Notice) {
 	now := time.Now()
@@ -45,12 +45,12 @@
 		r.loads.RecordBackoff(now, e.ID, n.Quiet)
 	}
 	r.noticeLimit(now, e, n)
-	if n.Leaving && r.markLeaving(now, e.ID) {
+	if n.Leaving && r.markDraining(now, e.ID) {
 		r.log.Emit(event.EndpointLeaving, zap.String("endpoint", e.ID))
 	}
 }
 
-// noticeLimit records an endpoint's announced limit, or that it no longer has one.
+// noticeLimit records an endpoint's advertised limit, or that it no longer has one.
 func (r *Router) noticeLimit(now time.Time, e *Endpoint, n Notice) {
 	s := quota.Statement{Endpoint: quota.EndpointID(e.ID), Named: n.Limit.Named, PerSecond: n.Limit.PerSecond}
 	if r.quotas.State(now, n.Asked, s) {
@@ -58,37 +58,37 @@
 	}
 }
 
-// markLeaving removes an endpoint from the directory. It returns false if it was removed
+// markDraining removes an endpoint from the directory. It returns false if it was removed
 // before.
-func (r *Router) markLeaving(now time.Time, id string) bool {
+func (r *Router) markDraining(now time.Time, id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, known := r.leaving[id]
-	r.leaving[id] = now
+	_, known := r.draining[id]
+	r.draining[id] = now
 	if !known {
 		d := r.directory.Load()
-		r.directory.Store(d.without(r.leaving))
+		r.directory.Store(d.without(r.draining))
 	}
 	return !known
 }
 
-// withoutLeaving returns a copy of the directory without the leaving endpoints; r.mu must
-// be held.
-func (r *Router) withoutLeaving(now time.Time, d *Directory) *Directory {
-	if len(r.leaving) == 0 {
+// withoutDraining returns a copy of the directory without the draining endpoints. The
+// caller holds r.mu.
+func (r *Router) withoutDraining(now time.Time, d *Directory) *Directory {
+	if len(r.draining) == 0 {
 		return d
 	}
 	for _, list := range d.endpoints {
 		for _, e := range list {
-			if _, leaves := r.leaving[e.ID]; leaves {
-				r.leaving[e.ID] = now
+			if _, leaves := r.draining[e.ID]; leaves {
+				r.draining[e.ID] = now
 			}
 		}
 	}
-	for id, at := range r.leaving {
-		if now.Sub(at) > leavingTTL {
-			delete(r.leaving, id)
+	for id, at := range r.draining {
+		if now.Sub(at) > drainingTTL {
+			delete(r.draining, id)
 		}
 	}
-	return d.without(r.leaving)
+	return d.without(r.draining)
 }
--- a/router/permit.go
+++ b/router/permit.go
@@ -8,7 +8,7 @@
 	"ebonypulley/quota"
 )
 
-// permit is the right to send one request to an endpoint within its announced limit.
+// permit is the right to send one request to an endpoint within its advertised limit.
 type permit struct {
 	quotas *quota.Ledger
 	id     quota.ID
@@ -20,7 +20,7 @@
 // permit counts one request to an endpoint. If the endpoint is at its limit, permit
 // returns nil and how long until it certainly accepts one.
 //
-// An overloaded endpoint announces one limit for all entries together. The quota ledger
+// An overloaded endpoint advertises one limit for all entries together. The quota ledger
 // counts what all entries send; if each entry applied the limit by itself, the endpoint
 // would get a multiple of it.
 func (r *Router) permit(now time.Time, e *Endpoint) (p *permit, wait time.Duration) {
@@ -33,7 +33,7 @@
 	return &permit{quotas: r.quotas, id: id, unsettled: v.Counted}, 0
 }
 
-// limitedUntil holds the endpoints at their announced limit, with the time until which
+// limitedUntil holds the endpoints at their advertised limit, with the time until which
 // they accept no request.
 type limitedUntil map[string]time.Time
 
--- a/router/router.go
+++ b/router/router.go
@@ -27,7 +27,7 @@
 	RetrySlack  float64
 	// Quota is the tolerated overrun of workspace limits.
 	Quota quota.Tolerance
-	// EndpointTolerance is the tolerated overrun of the limits that endpoints announce.
+	// EndpointTolerance is the tolerated overrun of the limits that endpoints advertise.
 	EndpointTolerance quota.Tolerance
 	// Restarted says that this process may have run before. An earlier incarnation may
 	// then have used its share of the slack only moments ago.
@@ -55,9 +55,9 @@
 	mu      sync.Mutex
 	budgets map[string]*limit.SharedBudget
 	rnd     *rand.Rand
-	// leaving maps the ID of each endpoint that announced its shutdown to the time it was
-	// last published.
-	leaving map[string]time.Time
+	// draining maps the ID of each endpoint that reported that it is draining to the time
+	// it was last published.
+	draining map[string]time.Time
 	// crashChecks holds the checks in progress, by endpoint ID.
 	crashChecks map[string]*crashCheck
 	// longestTimeouts holds the longest timeout that callers of each route have requested.
@@ -78,7 +78,7 @@
 		log:             log,
 		metrics:         m,
 		budgets:         make(map[string]*limit.SharedBudget),
-		leaving:         make(map[string]time.Time),
+		draining:        make(map[string]time.Time),
 		crashChecks:     make(map[string]*crashCheck),
 		longestTimeouts: make(map[string]time.Duration),
 		rnd:             rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
@@ -91,11 +91,11 @@
 // Directory returns the current directory.
 func (r *Router) Directory() *Directory { return r.directory.Load() }
 
-// SetDirectory replaces the directory. Endpoints that announced their shutdown stay out
-// of it.
+// SetDirectory replaces the directory. Endpoints that reported that they are draining
+// stay out of it.
 func (r *Router) SetDirectory(d *Directory) {
 	r.mu.Lock()
-	r.directory.Store(r.withoutLeaving(time.Now(), d))
+	r.directory.Store(r.withoutDraining(time.Now(), d))
 	r.mu.Unlock()
 	r.quotas.SetLimits(d.limits)
 	known := make(map[string]bool)
