--- a/router/generate_test.go
+++ b/router/generate_test.go
@@ -343,7 +343,7 @@
 	})
 }
 
-// TestLastAttemptIsNotCut: an engine preempts an answer for two seconds. If the
+// TestLastAttemptIsNotCut: an engine preempts an answer for 3.5 s. If the
 // generation cannot continue elsewhere, because its route is not resumable or it is the
 // last attempt, ending it gains nothing and truncates the answer.
 func TestLastAttemptIsNotCut(t *testing.T) {
