--- a/emulator/crash_test.go
+++ b/emulator/crash_test.go
@@ -138,7 +138,7 @@
 		require.NoError(t, err)
 		time.Sleep(propagationTime)
 		before := len(d.fleet.PoisonArrivals)
-		d.sendPoison(e.Router, "newcomer")
+		d.sendPoison(e.Router, "new-entry")
 		assert.Len(t, d.fleet.PoisonArrivals, before)
 	})
 }
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -14,7 +14,7 @@
 	spec *EngineSpec
 	// onCrash is called, without holding mu, when a poison job reaches its first token. It
 	// closes down.
-	onCrash func(content uint64)
+	onCrash func(hash uint64)
 	down    chan struct{}
 	// slowdown multiplies the duration of each step.
 	slowdown float64
--- a/emulator/fleet.go
+++ b/emulator/fleet.go
@@ -209,8 +209,8 @@
 	return &stream{job: j, down: engine.down}, nil
 }
 
-func (f *Fleet) countRefusedResult(computed bool) {
-	if !computed {
+func (f *Fleet) countRefusedResult(withResult bool) {
+	if !withResult {
 		return
 	}
 	f.mu.Lock()
--- a/emulator/sheets_test.go
+++ b/emulator/sheets_test.go
@@ -200,21 +200,21 @@
 // its figures, and ten specifications with random figures.
 func engineCases() []engineCase {
 	figures := map[string]func(s *emulator.EngineSpec, x float64){
-		"step":   func(s *emulator.EngineSpec, x float64) { s.Step = time.Duration(x * float64(s.Step)) },
-		"crowd":  func(s *emulator.EngineSpec, x float64) { s.StepPerStream = time.Duration(x * float64(s.StepPerStream)) },
-		"prompt": func(s *emulator.EngineSpec, x float64) { s.PrefillRate *= x },
-		"chunk":  func(s *emulator.EngineSpec, x float64) { s.ChunkTokens = int(x * float64(s.ChunkTokens)) },
-		"first": func(s *emulator.EngineSpec, x float64) {
+		"step":            func(s *emulator.EngineSpec, x float64) { s.Step = time.Duration(x * float64(s.Step)) },
+		"step per stream": func(s *emulator.EngineSpec, x float64) { s.StepPerStream = time.Duration(x * float64(s.StepPerStream)) },
+		"prefill rate":    func(s *emulator.EngineSpec, x float64) { s.PrefillRate *= x },
+		"chunk":           func(s *emulator.EngineSpec, x float64) { s.ChunkTokens = int(x * float64(s.ChunkTokens)) },
+		"first token": func(s *emulator.EngineSpec, x float64) {
 			s.FirstTokenDelay = time.Duration(x * float64(s.FirstTokenDelay))
 		},
-		"memory":  func(s *emulator.EngineSpec, x float64) { s.KVCapacity = int(x * float64(s.KVCapacity)) },
-		"slots":   func(s *emulator.EngineSpec, x float64) { s.Slots = int(x * float64(s.Slots)) },
-		"stride":  func(s *emulator.EngineSpec, x float64) { s.Stride = int(x * float64(s.Stride)) },
-		"move":    func(s *emulator.EngineSpec, x float64) { s.TransferRate *= x },
-		"setup":   func(s *emulator.EngineSpec, x float64) { s.TransferSetup = time.Duration(x * float64(s.TransferSetup)) },
-		"results": func(s *emulator.EngineSpec, x float64) { s.ResultTTL = time.Duration(x * float64(s.ResultTTL)) },
+		"KV capacity":    func(s *emulator.EngineSpec, x float64) { s.KVCapacity = int(x * float64(s.KVCapacity)) },
+		"slots":          func(s *emulator.EngineSpec, x float64) { s.Slots = int(x * float64(s.Slots)) },
+		"stride":         func(s *emulator.EngineSpec, x float64) { s.Stride = int(x * float64(s.Stride)) },
+		"transfer rate":  func(s *emulator.EngineSpec, x float64) { s.TransferRate *= x },
+		"transfer setup": func(s *emulator.EngineSpec, x float64) { s.TransferSetup = time.Duration(x * float64(s.TransferSetup)) },
+		"result TTL":     func(s *emulator.EngineSpec, x float64) { s.ResultTTL = time.Duration(x * float64(s.ResultTTL)) },
 	}
-	cases := []engineCase{{name: "base", spec: baseSpec()}, {name: "slow ones", spec: baseSpec(), slow: map[int]float64{1: 1.5, 5: 1.5, 7: 2}}}
+	cases := []engineCase{{name: "base", spec: baseSpec()}, {name: "slow engines", spec: baseSpec(), slow: map[int]float64{1: 1.5, 5: 1.5, 7: 2}}}
 	for name, change := range figures {
 		for _, x := range []float64{0.25, 0.5, 2, 4} {
 			s := baseSpec()
@@ -225,10 +225,10 @@
 	rnd := rand.New(rand.NewPCG(7, 7))
 	for i := range 10 {
 		s := baseSpec()
-		for _, name := range []string{"step", "crowd", "prompt", "chunk", "first", "memory", "slots", "stride", "move", "setup", "results"} {
+		for _, name := range []string{"step", "step per stream", "prefill rate", "chunk", "first token", "KV capacity", "slots", "stride", "transfer rate", "transfer setup", "result TTL"} {
 			figures[name](&s, []float64{0.5, 0.7, 1, 1.4, 2}[rnd.IntN(5)])
 		}
-		cases = append(cases, engineCase{name: fmt.Sprintf("drawn %d", i), spec: s})
+		cases = append(cases, engineCase{name: fmt.Sprintf("random %d", i), spec: s})
 	}
 	return cases
 }
