--- a/fleet/answer_test.go
+++ b/fleet/answer_test.go
@@ -13,236 +13,238 @@
 	"ebonypulley/standin"
 )
 
-// midAnswer is a moment at which an answer of 64 tokens is under way.
+// midAnswer is a time after the start of an answer of 64 tokens at which it is still being
+// generated.
 const midAnswer = 250 * time.Millisecond
 
-func TestAnswersAreWhole(t *testing.T) {
-	simulate(t, func(s *sim) {
-		whole(t, s.draft(load.DraftSpec{}))
-		whole(t, s.draft(load.DraftSpec{Stream: true}))
-		whole(t, s.draft(load.DraftSpec{Stream: true, Key: trialKey}))
-		whole(t, s.book(load.CallSpec{}))
-		s.freedWithin(0)
+func TestAnswersAreComplete(t *testing.T) {
+	runSim(t, func(s *sim) {
+		assertComplete(t, s.sendDraft(load.DraftSpec{}))
+		assertComplete(t, s.sendDraft(load.DraftSpec{Stream: true}))
+		assertComplete(t, s.sendDraft(load.DraftSpec{Stream: true, Key: trialKey}))
+		assertComplete(t, s.sendBooking(load.CallSpec{}))
+		s.requireFreedWithin(0)
 	})
 }
 
-// Story: a parent reads a draft as it is written; the engine's VM loses power.
-// The agent sees its stream end and the engine not answer. The entry prefills
-// prompt and delivered tokens elsewhere and goes on; the parent sees a pause.
+// TestDecodeEngineLostMidAnswer: the decode engine crashes while an answer is streamed. The
+// agent sees its stream end and gets no response from the engine. The entry must prefill the
+// prompt and the delivered tokens at other engines and continue the answer; the caller sees a
+// longer gap only.
 func TestDecodeEngineLostMidAnswer(t *testing.T) {
-	simulate(t, func(s *sim) {
-		res := during(midAnswer, func() { s.Engines[s.busy()+"-engine"].Crash() },
-			func() load.Result { return s.draft(load.DraftSpec{Stream: true}) })
-		whole(t, res)
-		assert.EqualValues(t, 1, s.count("continued"))
+	runSim(t, func(s *sim) {
+		res := withFault(midAnswer, func() { s.Engines[s.busyEndpoint()+"-engine"].Crash() },
+			func() load.Result { return s.sendDraft(load.DraftSpec{Stream: true}) })
+		assertComplete(t, res)
+		assert.EqualValues(t, 1, s.sumMetric("continued"))
 	})
 }
 
-// Story: as above, but the agent beside the engine dies. Its connection ends
-// and dialling again fails; the entry gives it a while and goes on elsewhere.
-// The orphaned request at the engine is not the entry's to free: nobody gates
-// that engine until the agent is back.
+// TestDecodeAgentLostMidAnswer: the decode agent crashes while an answer is streamed, and
+// redialling fails. After a time-out the entry must continue the answer elsewhere. It does not
+// free the orphaned request at the engine: no agent admits work to that engine until its next
+// agent starts.
 func TestDecodeAgentLostMidAnswer(t *testing.T) {
-	simulate(t, func(s *sim) {
-		res := during(midAnswer, func() { s.crash(s.busy()) },
-			func() load.Result { return s.draft(load.DraftSpec{Stream: true}) })
-		whole(t, res)
+	runSim(t, func(s *sim) {
+		res := withFault(midAnswer, func() { s.crash(s.busyEndpoint()) },
+			func() load.Result { return s.sendDraft(load.DraftSpec{Stream: true}) })
+		assertComplete(t, res)
 	})
 }
 
-// Story: the VM of agent and engine loses power: no connection is closed, all
-// just go silent. Heartbeats notice, dialling gets no answer, and the draft is
-// continued elsewhere.
-func TestDecodeVMLosesPower(t *testing.T) {
-	simulate(t, func(s *sim) {
-		res := during(midAnswer, func() {
-			name := s.busy()
+// TestDecodeVMPowerLoss: the VM of agent and engine loses power, so that their connections go
+// silent without being closed. Heartbeats must detect it, and the answer must be continued
+// elsewhere.
+func TestDecodeVMPowerLoss(t *testing.T) {
+	runSim(t, func(s *sim) {
+		res := withFault(midAnswer, func() {
+			name := s.busyEndpoint()
 			s.powerCut(name)
 			s.powerCut(name + "-engine")
-		}, func() load.Result { return s.draft(load.DraftSpec{Stream: true}) })
-		whole(t, res)
-		assert.EqualValues(t, 1, s.count("continued"))
+		}, func() load.Result { return s.sendDraft(load.DraftSpec{Stream: true}) })
+		assertComplete(t, res)
+		assert.EqualValues(t, 1, s.sumMetric("continued"))
 	})
 }
 
-// Story: a draft stops in the middle, although engine and agent are well:
-// something forgot the connection between entry and agent, which stays open
-// and silent. Heartbeats notice, a fresh connection resumes at the next token.
-// The endpoint is not blamed: nothing is prefilled again.
+// TestSilentConnectionToAgent: the connection between entry and agent goes silent but stays
+// open, as after a middlebox has lost its state, while engine and agent are healthy. Heartbeats
+// must detect it, and a new connection must resume the answer at the next token. The endpoint
+// is not at fault, so nothing may be prefilled again.
 func TestSilentConnectionToAgent(t *testing.T) {
-	simulate(t, func(s *sim) {
-		s.only(0)
-		res := during(midAnswer, func() { s.net.Silence(s.entry(0), s.busy()) },
-			func() load.Result { return s.draft(load.DraftSpec{Stream: true}) })
-		whole(t, res)
-		assert.Zero(t, s.count("continued"))
+	runSim(t, func(s *sim) {
+		s.useOnlyEntry(0)
+		res := withFault(midAnswer, func() { s.net.Silence(s.entryName(0), s.busyEndpoint()) },
+			func() load.Result { return s.sendDraft(load.DraftSpec{Stream: true}) })
+		assertComplete(t, res)
+		assert.Zero(t, s.sumMetric("continued"))
 	})
 }
 
-// Story: as above, but the connection is cut, twice within one answer.
+// TestConnectionCutTwice: the connection between entry and agent is cut twice during one
+// answer, which must resume both times without another prefill.
 func TestConnectionCutTwice(t *testing.T) {
-	simulate(t, func(s *sim) {
-		s.only(0)
-		res := during(midAnswer, func() {
-			busy := s.busy()
-			s.net.Cut(s.entry(0), busy)
+	runSim(t, func(s *sim) {
+		s.useOnlyEntry(0)
+		res := withFault(midAnswer, func() {
+			busy := s.busyEndpoint()
+			s.net.Cut(s.entryName(0), busy)
 			time.Sleep(200 * time.Millisecond)
-			s.net.Cut(s.entry(0), busy)
-		}, func() load.Result { return s.draft(load.DraftSpec{Stream: true}) })
-		whole(t, res)
-		assert.Zero(t, s.count("continued"))
+			s.net.Cut(s.entryName(0), busy)
+		}, func() load.Result { return s.sendDraft(load.DraftSpec{Stream: true}) })
+		assertComplete(t, res)
+		assert.Zero(t, s.sumMetric("continued"))
 	})
 }
 
-// Story: the stream between agent and engine goes silent for good; the engine
-// works on. The agent opens a fresh one at the next token.
+// TestSilentStreamOfEngine: the stream from engine to agent goes silent for good while the
+// engine keeps generating. The agent must open a new stream at the next token.
 func TestSilentStreamOfEngine(t *testing.T) {
-	simulate(t, func(s *sim) {
-		res := during(midAnswer, func() { s.fault(s.busy(), standin.Fault{Kind: standin.FaultSilent}) },
-			func() load.Result { return s.draft(load.DraftSpec{Stream: true}) })
-		whole(t, res)
-		assert.Zero(t, s.count("continued"))
+	runSim(t, func(s *sim) {
+		res := withFault(midAnswer, func() { s.injectFault(s.busyEndpoint(), standin.Fault{Kind: standin.FaultSilent}) },
+			func() load.Result { return s.sendDraft(load.DraftSpec{Stream: true}) })
+		assertComplete(t, res)
+		assert.Zero(t, s.sumMetric("continued"))
 	})
 }
 
-// Story: an engine hangs for ten seconds in the middle of a draft. Fresh
-// streams are silent as well, so the agent gives the request up there and the
-// entry continues it elsewhere, long before the engine wakes.
+// TestEngineStallsMidAnswer: an engine hangs for ten seconds during an answer, and new streams
+// are silent as well. The agent must give up the request there, and the entry must continue it
+// elsewhere before the engine recovers.
 func TestEngineStallsMidAnswer(t *testing.T) {
-	simulate(t, func(s *sim) {
+	runSim(t, func(s *sim) {
 		began := time.Now()
-		res := during(midAnswer, func() {
-			s.fault(s.busy(), standin.Fault{Kind: standin.FaultStall, For: jsonc.Duration(10 * time.Second)})
-		}, func() load.Result { return s.draft(load.DraftSpec{Stream: true}) })
-		whole(t, res)
+		res := withFault(midAnswer, func() {
+			s.injectFault(s.busyEndpoint(), standin.Fault{Kind: standin.FaultStall, For: jsonc.Duration(10 * time.Second)})
+		}, func() load.Result { return s.sendDraft(load.DraftSpec{Stream: true}) })
+		assertComplete(t, res)
 		assert.Less(t, time.Since(began), 8*time.Second)
-		s.freedWithin(15 * time.Second)
+		s.requireFreedWithin(15 * time.Second)
 	})
 }
 
-// Story: KV transfers into one engine stall. The transfer is cut while the
-// prefill result is still alive, and another engine imports that same result:
-// the long application file is not prefilled twice.
-func TestStalledTransferIsUsedElsewhere(t *testing.T) {
-	simulate(t, func(s *sim) {
-		s.fault("alm-a-decode-1", standin.Fault{Kind: standin.FaultTransfer, For: jsonc.Duration(5 * time.Second)})
+// TestResultIsReusedAfterStalledTransfer: KV transfers into one engine stall. The transfer must
+// be cut while the prefill result is still kept, so that another engine imports the same result
+// and a long prompt is not prefilled twice.
+func TestResultIsReusedAfterStalledTransfer(t *testing.T) {
+	runSim(t, func(s *sim) {
+		s.injectFault("alm-a-decode-1", standin.Fault{Kind: standin.FaultTransfer, For: jsonc.Duration(5 * time.Second)})
 		for range 6 {
-			whole(t, s.draft(load.DraftSpec{}))
+			assertComplete(t, s.sendDraft(load.DraftSpec{}))
 		}
-		assert.Positive(t, s.count("reused_results"))
-		assert.Zero(t, s.count("wasted_prefill_tokens"))
+		assert.Positive(t, s.sumMetric("reused_results"))
+		assert.Zero(t, s.sumMetric("wasted_prefill_tokens"))
 	})
 }
 
-// Story: a caller closes the page in the middle of a draft. The entry cancels
-// at the agent, the agent at the engine; the memory is free within a second.
+// TestCallerGoneFreesMemory: a caller disconnects during an answer. The entry must cancel at
+// the agent and the agent at the engine, so that the memory is free within a second.
 func TestCallerGoneFreesMemory(t *testing.T) {
-	simulate(t, func(s *sim) {
-		res := s.draft(load.DraftSpec{Stream: true, MaxTokens: 500, CancelAfter: 5})
+	runSim(t, func(s *sim) {
+		res := s.sendDraft(load.DraftSpec{Stream: true, MaxTokens: 500, CancelAfter: 5})
 		assert.True(t, res.Cancelled)
-		s.freedWithin(time.Second)
+		s.requireFreedWithin(time.Second)
 	})
 }
 
-// Story: the entry dies with a draft under way. Nobody cancels; the agent no
-// longer hears the entry's heartbeats and frees the memory when the lease
-// time is over.
+// TestEntryLostFreesMemory: an entry crashes during an answer, so that nobody cancels. The
+// agent must free the memory when the entry's heartbeats have been missing for the lease time.
 func TestEntryLostFreesMemory(t *testing.T) {
-	simulate(t, func(s *sim) {
-		s.only(0)
-		res := during(midAnswer, func() { s.crash(s.entry(0)) },
-			func() load.Result { return s.draft(load.DraftSpec{Stream: true, MaxTokens: 500}) })
-		assert.True(t, res.Broken, "a broken answer must be seen as such")
-		s.freedWithin(3500 * time.Millisecond)
+	runSim(t, func(s *sim) {
+		s.useOnlyEntry(0)
+		res := withFault(midAnswer, func() { s.crash(s.entryName(0)) },
+			func() load.Result { return s.sendDraft(load.DraftSpec{Stream: true, MaxTokens: 500}) })
+		assert.True(t, res.Broken, "the caller must see that the answer was aborted")
+		s.requireFreedWithin(3500 * time.Millisecond)
 	})
 }
 
-// Story: entry and agent are cut off from each other for good, and the caller
-// goes away meanwhile. No cancel arrives; the lease ends it.
+// TestCancelLostInPartition: entry and agent are partitioned for good, and the caller
+// disconnects meanwhile. The Cancel is lost, so the end of the lease must free the memory.
 func TestCancelLostInPartition(t *testing.T) {
-	simulate(t, func(s *sim) {
-		s.only(0)
+	runSim(t, func(s *sim) {
+		s.useOnlyEntry(0)
 		ctx, leave := context.WithTimeout(s.t.Context(), 2*midAnswer)
 		defer leave()
-		during(midAnswer, func() { s.net.Partition(s.entry(0), "caller") }, func() load.Result {
-			return s.caller.Draft(ctx, s.random(), load.DraftSpec{Key: paidKey, Prompt: "A long letter", Stream: true, MaxTokens: 512})
+		withFault(midAnswer, func() { s.net.Partition(s.entryName(0), "caller") }, func() load.Result {
+			return s.caller.Draft(ctx, s.newRand(), load.DraftSpec{Key: paidKey, Prompt: "A long letter", Stream: true, MaxTokens: 512})
 		})
-		assert.Positive(t, s.Held(), "the cancel was not lost")
-		s.freedWithin(3500 * time.Millisecond)
+		assert.Positive(t, s.Held(), "the Cancel must be lost")
+		s.requireFreedWithin(3500 * time.Millisecond)
 	})
 }
 
-// Story: no decode engine can be had at all. The request is refused, as not
-// run, within the wait of its tier, and no prefill was spent on it.
+// TestNoDecodeMeansNoPrefill: no decode engine is available. The request must be refused as not
+// run within the maximum wait of its tier, and no prefill may be spent on it.
 func TestNoDecodeMeansNoPrefill(t *testing.T) {
-	simulate(t, func(s *sim) {
+	runSim(t, func(s *sim) {
 		s.crash("alm-a-decode-1")
 		s.crash("alm-b-decode-1")
 		before := s.Prefill().Computed
-		res := s.draft(load.DraftSpec{})
+		res := s.sendDraft(load.DraftSpec{})
 		assert.Equal(t, entry.NotRun, res.Outcome)
 		assert.Equal(t, before, s.Prefill().Computed)
 	})
 }
 
-// Story: an agent dies while its engine writes a long draft, and is replaced.
-// The engine's memory is accounted for by no lease any more; the new agent
-// finds the request there and frees it, long before its end.
+// TestNewAgentFreesOrphans: an agent crashes while its engine generates a long answer, and is
+// replaced. No lease accounts for the engine's memory any more; the new agent must find the
+// orphaned request and free it long before it would end.
 func TestNewAgentFreesOrphans(t *testing.T) {
-	simulate(t, func(s *sim) {
+	runSim(t, func(s *sim) {
 		for _, e := range s.Engines {
 			e.Fault(standin.Fault{Kind: standin.FaultSlow, Factor: 20})
 		}
 		ctx, leave := context.WithTimeout(s.t.Context(), 4*midAnswer)
 		defer leave()
-		during(midAnswer, func() {
-			name := s.busy()
+		withFault(midAnswer, func() {
+			name := s.busyEndpoint()
 			s.crash(name)
 			s.StartAgent(name)
 		}, func() load.Result {
-			return s.caller.Draft(ctx, s.random(), load.DraftSpec{Key: paidKey, Prompt: "A long letter", Stream: true, MaxTokens: 512})
+			return s.caller.Draft(ctx, s.newRand(), load.DraftSpec{Key: paidKey, Prompt: "A long letter", Stream: true, MaxTokens: 512})
 		})
-		s.freedWithin(2 * time.Second)
+		s.requireFreedWithin(2 * time.Second)
 	})
 }
 
-// Story: the kept connections between a prefill engine and its agent went
-// silent. The next draft waits for nothing; the agent notices that the prefill
-// takes far longer than prefills do here and asks on a fresh connection.
+// TestSilentConnectionToPrefillEngine: the keep-alive connections between agents and their
+// prefill engines have gone silent. The agent must detect that a prefill takes far longer than
+// usual, and send it again on a new connection.
 func TestSilentConnectionToPrefillEngine(t *testing.T) {
-	simulate(t, func(s *sim) {
+	runSim(t, func(s *sim) {
 		for range 10 {
-			whole(t, s.draft(load.DraftSpec{}))
+			assertComplete(t, s.sendDraft(load.DraftSpec{}))
 		}
-		time.Sleep(time.Second) // what the drafts held is freed on those connections
+		time.Sleep(time.Second) // the memory of the drafts is freed over these connections
 		for _, name := range []string{"alm-a-prefill-1", "alm-b-prefill-1"} {
 			s.net.Silence(name, name+"-engine")
 		}
-		for range 6 { // both engines get some
+		for range 6 { // enough for both engines to get some
 			began := time.Now()
-			whole(t, s.draft(load.DraftSpec{}))
+			assertComplete(t, s.sendDraft(load.DraftSpec{}))
 			assert.Less(t, time.Since(began), 4*time.Second)
 			time.Sleep(time.Second)
 		}
-		assert.Zero(t, s.count("continued"), "no retry is spent on a connection")
+		assert.Zero(t, s.sumMetric("continued"), "a silent connection must not cost a retry")
 	})
 }
 
-// Story: the connection on which a decode agent tells a prefill engine that it
-// has the result went silent. Nobody needs that answer: the first token must
-// not wait for it.
-func TestFirstTokenDoesNotWaitForTheDrop(t *testing.T) {
-	simulate(t, func(s *sim) {
+// TestFirstTokenDoesNotWaitForDrop: the connection on which a decode agent tells the prefill
+// engine to drop a fetched result has gone silent. The response is not needed, so the first
+// token must not wait for it.
+func TestFirstTokenDoesNotWaitForDrop(t *testing.T) {
+	runSim(t, func(s *sim) {
 		for range 6 {
-			whole(t, s.draft(load.DraftSpec{}))
+			assertComplete(t, s.sendDraft(load.DraftSpec{}))
 		}
 		time.Sleep(time.Second) // the connections are idle
 		for _, d := range []string{"alm-a-decode-1", "alm-b-decode-1"} {
 			s.net.Silence(d, "alm-a-prefill-1-engine")
 			s.net.Silence(d, "alm-b-prefill-1-engine")
 		}
-		res := s.draft(load.DraftSpec{Stream: true})
-		whole(t, res)
+		res := s.sendDraft(load.DraftSpec{Stream: true})
+		assertComplete(t, res)
 		assert.Less(t, res.TTFT, 500*time.Millisecond)
 	})
 }
--- a/fleet/badinput_test.go
+++ b/fleet/badinput_test.go
@@ -18,15 +18,15 @@
 	"ebonypulley/load"
 )
 
-// reply is what a caller sees of a refusal.
-type reply struct {
+// errorReply is the error response that a caller receives.
+type errorReply struct {
 	status  int
 	header  http.Header
 	message string
 	code    string
 }
 
-func (s *sim) send(method, path, key, deadline, body string) reply {
+func (s *sim) sendRaw(method, path, key, deadline, body string) errorReply {
 	s.t.Helper()
 	req, err := http.NewRequestWithContext(s.t.Context(), method, fleet.URLs(s.Plan.Document)[0]+path, strings.NewReader(body))
 	require.NoError(s.t, err)
@@ -42,13 +42,13 @@
 	}
 	text, _ := io.ReadAll(resp.Body)
 	require.NoError(s.t, json.Unmarshal(text, &e), "%s", text)
-	return reply{resp.StatusCode, resp.Header, e.Error.Message, e.Error.Code}
+	return errorReply{resp.StatusCode, resp.Header, e.Error.Message, e.Error.Code}
 }
 
-// TestBadInput: each gets a clear error at once, with a request ID and the
-// true word that nothing ran; and the entry serves on.
+// TestBadInput: each invalid request must get an error that says what is wrong, a request ID
+// and the outcome that nothing ran; the entry must go on serving.
 func TestBadInput(t *testing.T) {
-	simulate(t, func(s *sim) {
+	runSim(t, func(s *sim) {
 		rows := []struct {
 			name, method, path, key, deadline, body string
 			status                                  int
@@ -70,40 +70,40 @@
 			{"undeclared call", "PUT", "/app/enrolment/bookings", paidKey, "", "", 404, "unknown_call"},
 		}
 		for _, row := range rows {
-			r := s.send(row.method, row.path, row.key, row.deadline, row.body)
+			r := s.sendRaw(row.method, row.path, row.key, row.deadline, row.body)
 			assert.Equal(t, row.status, r.status, row.name)
 			assert.Equal(t, row.code, r.code, row.name)
 			assert.NotEmpty(t, r.message, row.name)
 			assert.NotEmpty(t, r.header.Get(entry.HeaderRequestID), row.name)
 			assert.Equal(t, string(entry.NotRun), r.header.Get(entry.HeaderOutcome), row.name)
 		}
-		whole(t, s.draft(load.DraftSpec{}))
+		assertComplete(t, s.sendDraft(load.DraftSpec{}))
 	})
 }
 
-// Story: a caller sends half of a request and stops. It is given up on after
-// the time for bodies; the connection and its memory are free again.
+// TestHalfSentRequest guards against a caller that sends half of a request and stops. The entry
+// must time out the body and free the connection and its memory.
 func TestHalfSentRequest(t *testing.T) {
-	simulate(t, func(s *sim) {
+	runSim(t, func(s *sim) {
 		addr := s.Plan.Entries[0].Listen
 		conn, err := s.net.Dialer("caller")(context.Background(), "tcp", addr)
 		require.NoError(t, err)
 		defer conn.Close()
 		_, err = io.WriteString(conn, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+paidKey+"\r\nContent-Length: 1000\r\n\r\n{\"mod")
 		require.NoError(t, err)
-		began := time.Now()
+		start := time.Now()
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusRequestTimeout, resp.StatusCode)
-		assert.Less(t, time.Since(began), 16*time.Second)
+		assert.Less(t, time.Since(start), 16*time.Second)
 	})
 }
 
-// Story: a caller reads a long draft very slowly. The engine finishes at its
-// own pace and its memory is free long before; the tokens wait at the agent,
-// and the caller gets all of them.
+// TestSlowReaderHoldsNoMemory guards against a caller that reads a long answer very slowly. The
+// engine must finish at its own speed and free its memory; the tokens wait at the agent and the
+// caller gets all of them.
 func TestSlowReaderHoldsNoMemory(t *testing.T) {
-	simulate(t, func(s *sim) {
+	runSim(t, func(s *sim) {
 		body := `{"model":"drafting","stream":true,"max_tokens":500,"prompt":"Slow reader"}`
 		req, err := http.NewRequestWithContext(s.t.Context(), "POST", fleet.URLs(s.Plan.Document)[0]+"/v1/completions", strings.NewReader(body))
 		require.NoError(t, err)
@@ -120,25 +120,25 @@
 			events++
 			if events == 200 {
 				time.Sleep(10 * time.Second)
-				assert.Zero(t, s.Held(), "the engine still holds the slow reader's request")
+				assert.Zero(t, s.Held(), "the engine still holds the request of a slow reader")
 			}
 		}
 		assert.True(t, done)
 	})
 }
 
-// Story: an entry waits for nothing it has given up on: when no endpoint can
-// take a request, the refusal comes at once and says when to come back.
-func TestRefusalComesAtOnce(t *testing.T) {
-	simulate(t, func(s *sim) {
+// TestRefusalIsImmediate: if no endpoint can take a request, the refusal must not wait for the
+// deadline, and must carry Retry-After.
+func TestRefusalIsImmediate(t *testing.T) {
+	runSim(t, func(s *sim) {
 		for _, name := range []string{"alm-a-app-1", "alm-b-app-1"} {
 			s.crash(name + "-engine")
 		}
-		time.Sleep(2 * time.Second) // both agents know by now
-		began := time.Now()
-		r := s.send("POST", "/app/enrolment/bookings", paidKey, "60s", "{}")
+		time.Sleep(2 * time.Second) // both agents have detected the crash
+		start := time.Now()
+		r := s.sendRaw("POST", "/app/enrolment/bookings", paidKey, "60s", "{}")
 		assert.Equal(t, http.StatusServiceUnavailable, r.status)
 		assert.NotEmpty(t, r.header.Get("Retry-After"))
-		assert.Less(t, time.Since(began), 3*time.Second)
+		assert.Less(t, time.Since(start), 3*time.Second)
 	})
 }
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -18,8 +18,8 @@
 	"ebonypulley/standin"
 )
 
-// benchFleet runs the small fleet over loopback TCP with engines that cost
-// next to nothing, so that the time left is the router's.
+// benchFleet runs the small fleet over loopback TCP. Its engines take almost no time, so that
+// the router's overhead is measured.
 func benchFleet(b *testing.B) *fleet.Fleet {
 	b.Helper()
 	doc := smallDocument(b)
@@ -37,8 +37,8 @@
 	return f
 }
 
-// BenchmarkDraft measures one whole request through entry, agents and
-// stand-ins in one process; the slope over the tokens is the cost of a token.
+// BenchmarkDraft measures a generation through entry, agents and stand-ins in one process. The
+// difference between the token counts is the cost per token.
 func BenchmarkDraft(b *testing.B) {
 	f := benchFleet(b)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
@@ -57,7 +57,7 @@
 	}
 }
 
-// BenchmarkCall measures a plain call: offer, grant, start, outcome.
+// BenchmarkCall measures a plain call: Offer, Granted, Start and Outcome.
 func BenchmarkCall(b *testing.B) {
 	f := benchFleet(b)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
--- a/fleet/callers.go
+++ b/fleet/callers.go
@@ -8,8 +8,8 @@
 	"ebonypulley/load"
 )
 
-// AddWorkspace adds a workspace with a known key to a document, in the first
-// tier that is or is not confined to spare capacity.
+// AddWorkspace adds a workspace with this key to a document. Its tier is the first that is
+// restricted to spare capacity, or the first that is not.
 func AddWorkspace(doc *config.Document, name, key string, spare bool) {
 	hash := config.HashKey(key)
 	for _, t := range doc.Tiers {
@@ -24,11 +24,11 @@
 	}
 }
 
-// Caller returns a caller of the fleet's first model service and route.
+// Caller returns a client of the fleet, as CallerOf does for a document.
 func (f *Fleet) Caller(client *http.Client) load.Caller { return CallerOf(f.Plan.Document, client) }
 
-// CallerOf returns a caller of a document's entries, its first model service
-// and its first route.
+// CallerOf returns a client of a document's entries that calls its first model service and its
+// first route.
 func CallerOf(doc *config.Document, client *http.Client) load.Caller {
 	c := load.Caller{HTTP: client, Balancer: load.NewBalancer(client, URLs(doc))}
 	for _, s := range doc.Services {
@@ -40,7 +40,7 @@
 	route := doc.Routes[0]
 	c.Route = route.Name
 	for _, call := range route.Calls {
-		path := concrete(call.Path)
+		path := examplePath(call.Path)
 		if call.Method == http.MethodPost && c.Book == "" {
 			c.Book = path
 		}
@@ -51,7 +51,7 @@
 	return c
 }
 
-// URLs returns the callers' addresses of all entries, in declared order.
+// URLs returns the base URLs of all entries for callers, in declared order.
 func URLs(doc *config.Document) []string {
 	var urls []string
 	for _, e := range doc.Entries {
@@ -60,24 +60,26 @@
 	return urls
 }
 
-// concrete makes a path that a declared one matches.
-func concrete(path string) string {
+// examplePath returns a path that matches a declared path, in which a final * is a wildcard.
+func examplePath(path string) string {
 	if n := len(path) - 1; n > 0 && path[n] == '*' {
 		return path[:n] + "12"
 	}
 	return path
 }
 
-// Prefill is the prefill work of the fleet in tokens.
+// Prefill sums up the prefill work of a fleet in tokens.
 type Prefill struct {
 	Computed int64
 	Cached   int64
 	Wasted   int64
-	// Expired counts results that nobody fetched in time.
+	// Expired counts prefill results, not tokens, that no decode engine fetched before they
+	// expired.
 	Expired int64
 }
 
-// Prefill adds up the engines' prefill work and what the entries wasted.
+// Prefill returns the prefill work of the engines and the part that the entries counted as
+// wasted.
 func (f *Fleet) Prefill() Prefill {
 	var p Prefill
 	for _, e := range f.Engines {
--- a/fleet/change_test.go
+++ b/fleet/change_test.go
@@ -18,18 +18,18 @@
 	"ebonypulley/standin"
 )
 
-// inForce is how long a published document may take.
-const inForce = 5 * time.Second
+// applyTimeout is the maximum time until all processes have applied a published document.
+const applyTimeout = 5 * time.Second
 
-// publish changes a copy of the document and publishes it.
-func (s *sim) publish(generation uint64, change func(*config.Document)) []byte {
-	text := s.published(generation, change)
+// publishChanged publishes a changed copy of the configuration document.
+func (s *sim) publishChanged(generation uint64, change func(*config.Document)) []byte {
+	text := s.changedDocument(generation, change)
 	s.Config.Publish(text)
 	return text
 }
 
-// published returns a changed copy of the document.
-func (s *sim) published(generation uint64, change func(*config.Document)) []byte {
+// changedDocument returns a changed copy of the configuration document.
+func (s *sim) changedDocument(generation uint64, change func(*config.Document)) []byte {
 	doc, findings := config.Parse("published", s.Plan.Text)
 	require.NoError(s.t, findings.Err())
 	doc.Generation = generation
@@ -39,7 +39,7 @@
 	return text
 }
 
-func without(name string) func(*config.Document) {
+func withoutEndpoint(name string) func(*config.Document) {
 	return func(doc *config.Document) {
 		kept := doc.Endpoints[:0]
 		for _, e := range doc.Endpoints {
@@ -62,16 +62,16 @@
 	return list
 }
 
-func (s *sim) allAt(generation uint64) {
+func (s *sim) assertAllAt(generation uint64) {
 	s.t.Helper()
 	for _, g := range s.generations() {
 		assert.Equal(s.t, generation, g)
 	}
 }
 
-// background sends drafts and bookings until the returned function is called;
-// it returns their results.
-func (s *sim) background() func() []load.Result {
+// startBackgroundLoad sends drafts and bookings until the returned function is called, which
+// returns their results.
+func (s *sim) startBackgroundLoad() func() []load.Result {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var results []load.Result
@@ -93,8 +93,8 @@
 		})
 	}
 	for range 3 {
-		send(func() load.Result { return s.draft(load.DraftSpec{Stream: true, MaxTokens: 24}) })
-		send(func() load.Result { return s.book(load.CallSpec{}) })
+		send(func() load.Result { return s.sendDraft(load.DraftSpec{Stream: true, MaxTokens: 24}) })
+		send(func() load.Result { return s.sendBooking(load.CallSpec{}) })
 	}
 	return func() []load.Result {
 		close(stop)
@@ -103,41 +103,40 @@
 	}
 }
 
-func (s *sim) allWhole(results []load.Result) {
+func (s *sim) assertAllComplete(results []load.Result) {
 	s.t.Helper()
 	for _, r := range results {
-		whole(s.t, r)
+		assertComplete(s.t, r)
 	}
-	s.t.Logf("%d requests, all whole", len(results))
+	s.t.Logf("%d requests, all complete", len(results))
 }
 
-// Story: an operator takes an engine out of the document while it writes a
-// draft. The draft ends whole; within seconds nothing new goes there, though
-// the engine's process lives on.
+// TestRemovedEndpointDrains: an operator removes an engine from the document while it generates
+// an answer. The answer must be completed; after that the engine must get no new work, although
+// its process keeps running.
 func TestRemovedEndpointDrains(t *testing.T) {
-	simulate(t, func(s *sim) {
+	runSim(t, func(s *sim) {
 		var removed string
-		res := during(midAnswer, func() {
-			removed = s.busy()
-			s.publish(2, without(removed))
-		}, func() load.Result { return s.draft(load.DraftSpec{Stream: true, MaxTokens: 400}) })
-		whole(t, res)
-		assert.Zero(t, s.count("continued"))
-		time.Sleep(inForce)
+		res := withFault(midAnswer, func() {
+			removed = s.busyEndpoint()
+			s.publishChanged(2, withoutEndpoint(removed))
+		}, func() load.Result { return s.sendDraft(load.DraftSpec{Stream: true, MaxTokens: 400}) })
+		assertComplete(t, res)
+		assert.Zero(t, s.sumMetric("continued"))
+		time.Sleep(applyTimeout)
 		before := s.Engines[removed+"-engine"].Stats().DecodedTokens
 		for range 8 {
-			whole(t, s.draft(load.DraftSpec{}))
+			assertComplete(t, s.sendDraft(load.DraftSpec{}))
 		}
 		assert.Equal(t, before, s.Engines[removed+"-engine"].Stats().DecodedTokens)
 	})
 }
 
-// Story: an agent is told to leave (SIGTERM) while it serves. What it serves
-// ends whole, nothing new is granted there from that moment, and callers
-// notice nothing.
+// TestDrainedAgentFinishes: an agent gets SIGTERM under load. It must complete what it serves
+// and grant nothing new; callers must see no failure.
 func TestDrainedAgentFinishes(t *testing.T) {
-	simulate(t, func(s *sim) {
-		finish := s.background()
+	runSim(t, func(s *sim) {
+		finish := s.startBackgroundLoad()
 		time.Sleep(time.Second)
 		for _, name := range []string{"alm-a-decode-1", "alm-a-app-1", "alm-a-prefill-1"} {
 			require.NoError(t, s.Drain(s.t.Context(), name))
@@ -145,89 +144,91 @@
 			s.StartAgent(name)
 		}
 		time.Sleep(time.Second)
-		s.allWhole(finish())
+		s.assertAllComplete(finish())
 	})
 }
 
-// Story: an entry is told to leave while drafts stream through it. The
-// balancer sees its health page and turns away, the streams end whole.
+// TestDrainedEntryFinishes: an entry gets SIGTERM while answers stream through it. Its health
+// endpoint must turn the load balancer away, and the answers must be completed.
 func TestDrainedEntryFinishes(t *testing.T) {
-	simulate(t, func(s *sim) {
-		finish := s.background()
+	runSim(t, func(s *sim) {
+		finish := s.startBackgroundLoad()
 		time.Sleep(time.Second)
 		for i := range s.Plan.Entries {
-			name := s.entry(i)
+			name := s.entryName(i)
 			require.NoError(t, s.Drain(s.t.Context(), name))
 			s.StartEntry(name)
 			time.Sleep(2 * time.Second)
 		}
-		s.allWhole(finish())
+		s.assertAllComplete(finish())
 	})
 }
 
-// Story: the configuration service shows an old document again after it was
-// down (a stale replica). Nobody goes back.
+// TestStaleServiceDoesNotRevert: the configuration service serves an old document again, as a
+// stale replica does. No process may go back to it.
 func TestStaleServiceDoesNotRevert(t *testing.T) {
-	simulate(t, func(s *sim) {
-		s.publish(2, func(*config.Document) {})
-		time.Sleep(inForce)
-		s.allAt(2)
+	runSim(t, func(s *sim) {
+		s.publishChanged(2, func(*config.Document) {})
+		time.Sleep(applyTimeout)
+		s.assertAllAt(2)
 		s.Config.Fault(standin.Fault{Kind: standin.FaultStale})
-		name := s.entry(0)
+		name := s.entryName(0)
 		s.crash(name)
-		s.StartEntry(name) // a newcomer reads the stale document first
-		time.Sleep(inForce)
-		s.allAt(2)
+		s.StartEntry(name) // the new entry reads the stale document first
+		time.Sleep(applyTimeout)
+		s.assertAllAt(2)
 	})
 }
 
-// Story: the service is down, an entry and an agent are replaced. They learn
-// the document in force from their peers and serve.
-func TestNewcomersDuringOutage(t *testing.T) {
-	simulate(t, func(s *sim) {
-		s.publish(2, func(*config.Document) {})
-		time.Sleep(inForce)
+// TestNewProcessesDuringOutage: the entries and an agent are replaced while the configuration
+// service is down. They must learn the current document from their peers and serve.
+func TestNewProcessesDuringOutage(t *testing.T) {
+	runSim(t, func(s *sim) {
+		s.publishChanged(2, func(*config.Document) {})
+		time.Sleep(applyTimeout)
 		s.crash("config")
-		for _, name := range []string{s.entry(0), s.entry(1)} {
+		for _, name := range []string{s.entryName(0), s.entryName(1)} {
 			s.crash(name)
 			s.StartEntry(name)
 		}
 		s.crash("alm-a-decode-1")
 		s.StartAgent("alm-a-decode-1")
-		time.Sleep(inForce)
-		s.allAt(2)
-		whole(t, s.draft(load.DraftSpec{}))
+		time.Sleep(applyTimeout)
+		s.assertAllAt(2)
+		assertComplete(t, s.sendDraft(load.DraftSpec{}))
 	})
 }
 
-// Story: a new document reaches only one side of a partition; after it heals
-// everybody has it within seconds, also with the service down meanwhile.
-func TestPartitionedConfigurationMeets(t *testing.T) {
-	simulate(t, func(s *sim) {
+// TestConfigurationConvergesAfterPartition: a document reaches only one side of a partition.
+// After the partition has healed all processes must get it from their peers, as the
+// configuration service is down by then.
+func TestConfigurationConvergesAfterPartition(t *testing.T) {
+	runSim(t, func(s *sim) {
 		s.net.Partition("alm-b-decode-1", "alm-b-app-1", "alm-b-prefill-1")
-		s.publish(2, without("alm-b-decode-1"))
-		time.Sleep(inForce)
+		s.publishChanged(2, withoutEndpoint("alm-b-decode-1"))
+		time.Sleep(applyTimeout)
 		assert.Contains(t, s.generations(), uint64(1))
 		s.crash("config")
 		s.net.Partition()
-		time.Sleep(inForce)
-		s.allAt(2)
+		time.Sleep(applyTimeout)
+		s.assertAllAt(2)
 	})
 }
 
-// Story: two operators publish generation 2 with different contents, and one
-// of them then publishes an older one. Every process ends with the same one.
+// TestOperatorsPublishTheSameGeneration: two operators publish generation 2 with different
+// contents, then one of them publishes an older generation. All processes must converge to the
+// same document.
 func TestOperatorsPublishTheSameGeneration(t *testing.T) {
-	simulate(t, func(s *sim) {
-		// The pauses let the service's watchers see each document: one that
-		// is replaced before anybody read it was never accepted.
-		s.publish(2, without("alm-a-app-1"))
+	runSim(t, func(s *sim) {
+		// The pauses let watchers of the service read each document. A document
+		// that is replaced before that is never applied.
+		s.publishChanged(2, withoutEndpoint("alm-a-app-1"))
 		time.Sleep(time.Second)
-		s.publish(2, without("alm-b-app-1"))
+		s.publishChanged(2, withoutEndpoint("alm-b-app-1"))
 		time.Sleep(time.Second)
-		s.publish(1, func(*config.Document) {})
-		time.Sleep(inForce)
-		s.allAt(2)
+		s.publishChanged(1, func(*config.Document) {})
+		time.Sleep(applyTimeout)
+		s.assertAllAt(2)
 		digests := make(map[uint64]bool)
 		for _, e := range s.Entries {
 			digests[e.Store().Current().Digest] = true
@@ -239,116 +240,116 @@
 	})
 }
 
-// Story: an operator publishes a document with a mistake. It is refused whole
-// by everybody, the old one stays in force, and the refusal is logged.
-func TestInvalidDocumentIsRefusedWhole(t *testing.T) {
-	simulate(t, func(s *sim) {
-		text := s.publish(2, func(doc *config.Document) { doc.Endpoints[0].Pool = "nowhere" })
+// TestInvalidDocumentIsRejected: an operator publishes a document with an error. All processes
+// must reject the whole document, keep the current one and log the refusal.
+func TestInvalidDocumentIsRejected(t *testing.T) {
+	runSim(t, func(s *sim) {
+		text := s.publishChanged(2, func(doc *config.Document) { doc.Endpoints[0].Pool = "nowhere" })
 		require.True(t, bytes.Contains(text, []byte("nowhere")))
-		time.Sleep(inForce)
-		s.allAt(1)
+		time.Sleep(applyTimeout)
+		s.assertAllAt(1)
 	})
 }
 
-// Story: a route is declared idempotent, then an operator corrects that while
-// the old document is still in force at a cut-off entry. Its calls, which it
-// would repeat, are refused by the agents as not run.
+// TestRouteTurnsNonIdempotent: an operator corrects a call that was declared idempotent, and a
+// partitioned entry still has the old document. The agents must refuse its calls, which it
+// would retry, as not run.
 func TestRouteTurnsNonIdempotent(t *testing.T) {
-	simulate(t, func(s *sim) {
-		s.only(0)
-		s.net.Partition("config", s.entry(1), "alm-a-app-1", "alm-b-app-1")
-		s.publish(2, func(doc *config.Document) {
+	runSim(t, func(s *sim) {
+		s.useOnlyEntry(0)
+		s.net.Partition("config", s.entryName(1), "alm-a-app-1", "alm-b-app-1")
+		s.publishChanged(2, func(doc *config.Document) {
 			for i := range doc.Routes[0].Calls {
 				doc.Routes[0].Calls[i].Idempotent = false
 			}
 		})
-		time.Sleep(inForce)
+		time.Sleep(applyTimeout)
 		s.net.Partition()
-		res := s.caller.Call(s.t.Context(), s.random(), load.CallSpec{Key: paidKey, Kind: load.Lookup})
+		res := s.caller.Call(s.t.Context(), s.newRand(), load.CallSpec{Key: paidKey, Kind: load.Lookup})
 		if res.Outcome == entry.Answered {
-			whole(t, res)
+			assertComplete(t, res)
 		}
-		assert.LessOrEqual(t, s.runsOf(res.Call), 1)
-		time.Sleep(inForce)
-		s.allAt(2)
+		assert.LessOrEqual(t, s.runCount(res.Call), 1)
+		time.Sleep(applyTimeout)
+		s.assertAllAt(2)
 	})
 }
 
-// Story: the entries' connections to the configuration service have gone
-// silent. A published document must not wait for the end of a long watch.
+// TestSilentWatch: the entries' connections to the configuration service have gone silent. A
+// published document must not be delayed until a long watch ends.
 func TestSilentWatch(t *testing.T) {
-	simulate(t, func(s *sim) {
-		time.Sleep(40 * time.Second) // the agents' first reads have ended
+	runSim(t, func(s *sim) {
+		time.Sleep(40 * time.Second) // the first watches have ended
 		for i := range s.Plan.Entries {
-			s.net.Silence(s.entry(i), "config")
+			s.net.Silence(s.entryName(i), "config")
 		}
-		s.publish(2, func(*config.Document) {})
-		time.Sleep(inForce)
-		s.allAt(2)
+		s.publishChanged(2, func(*config.Document) {})
+		time.Sleep(applyTimeout)
+		s.assertAllAt(2)
 	})
 }
 
-// Story: an operator declares another model while a long draft is written. The
-// draft ends whole, with the old one; then the engines are ordered over, and
-// drafts of the new model are served.
+// TestModelChangeWaitsForAnswers: an operator changes a service's model while a long answer is
+// generated. The answer must be completed with the old model; then the engines are ordered to
+// load the new one and must serve it.
 func TestModelChangeWaitsForAnswers(t *testing.T) {
-	simulate(t, func(s *sim) {
-		res := during(midAnswer, func() {
-			s.publish(2, func(doc *config.Document) {
+	runSim(t, func(s *sim) {
+		res := withFault(midAnswer, func() {
+			s.publishChanged(2, func(doc *config.Document) {
 				for i := range doc.Services {
 					if doc.Services[i].Model != "" {
 						doc.Services[i].Model = "drafting-2"
 					}
 				}
 			})
-		}, func() load.Result { return s.draft(load.DraftSpec{Stream: true, MaxTokens: 400}) })
-		whole(t, res)
-		assert.Zero(t, s.count("continued"))
-		time.Sleep(inForce)
+		}, func() load.Result { return s.sendDraft(load.DraftSpec{Stream: true, MaxTokens: 400}) })
+		assertComplete(t, res)
+		assert.Zero(t, s.sumMetric("continued"))
+		time.Sleep(applyTimeout)
 		s.caller.Model = "drafting-2"
-		whole(t, s.draft(load.DraftSpec{}))
+		assertComplete(t, s.sendDraft(load.DraftSpec{}))
 	})
 }
 
-// Story: a workspace's key is taken out of the document. Within seconds no
-// entry accepts it.
+// TestRevokedKey: a workspace's key is removed from the document. The entries must reject it
+// within seconds.
 func TestRevokedKey(t *testing.T) {
-	simulate(t, func(s *sim) {
-		whole(t, s.draft(load.DraftSpec{}))
-		s.publish(2, func(doc *config.Document) {
+	runSim(t, func(s *sim) {
+		assertComplete(t, s.sendDraft(load.DraftSpec{}))
+		s.publishChanged(2, func(doc *config.Document) {
 			for i := range doc.Workspaces {
 				doc.Workspaces[i].KeySHA256 = nil
 			}
 		})
-		time.Sleep(inForce)
-		assert.Equal(t, http.StatusUnauthorized, s.draft(load.DraftSpec{}).Status)
+		time.Sleep(applyTimeout)
+		assert.Equal(t, http.StatusUnauthorized, s.sendDraft(load.DraftSpec{}).Status)
 	})
 }
 
-// Story: an entry has just lost all its connections, as after a pause, and
-// dials them again. Requests that come in these milliseconds are served.
-func TestNoEndpointForAMoment(t *testing.T) {
-	simulate(t, func(s *sim) {
-		s.only(0)
+// TestRequestDuringReconnect: an entry has lost all its connections, as after a pause, and is
+// reconnecting. Requests that arrive in these milliseconds must be served.
+func TestRequestDuringReconnect(t *testing.T) {
+	runSim(t, func(s *sim) {
+		s.useOnlyEntry(0)
 		cutAll := func() {
-			for name := range kept {
-				s.net.Cut(s.entry(0), name)
+			for name := range smallFleet {
+				s.net.Cut(s.entryName(0), name)
 			}
 		}
 		cutAll()
-		whole(t, s.draft(load.DraftSpec{}))
+		assertComplete(t, s.sendDraft(load.DraftSpec{}))
 		cutAll()
-		whole(t, s.book(load.CallSpec{}))
+		assertComplete(t, s.sendBooking(load.CallSpec{}))
 	})
 }
 
-// Story: an entry drains. Callers that still use their kept connections get
-// their answer, and are told to open another one next time: none is left for
-// the server to close under a request.
+// TestDrainingEntryClosesConnections: callers reuse their keep-alive connections to a draining
+// entry. They must get their response with "Connection: close", so that the server does not
+// close a connection while a request is being sent.
 func TestDrainingEntryClosesConnections(t *testing.T) {
-	simulate(t, func(s *sim) {
+	runSim(t, func(s *sim) {
 		drained := make(chan error, 1)
-		go func() { drained <- s.Drain(s.t.Context(), s.entry(0)) }()
+		go func() { drained <- s.Drain(s.t.Context(), s.entryName(0)) }()
 		time.Sleep(time.Second)
 		req, err := http.NewRequestWithContext(s.t.Context(), http.MethodGet, fleet.URLs(s.Plan.Document)[0]+"/v1/models", nil)
 		require.NoError(t, err)
@@ -362,14 +363,14 @@
 	})
 }
 
-// TestOneCopyOfTheDocument: an operator publishes a large document, and the links
-// of agents carry a copy from each of their entries at once. On a narrow link none
-// is whole in time. Whoever is behind asks one that is ahead, and one at a time.
-func TestOneCopyOfTheDocument(t *testing.T) {
-	simulate(t, func(s *sim) {
+// TestDocumentIsFetchedOnce: a large document is published, and agents have narrow links. If
+// each of an agent's peers sent it a copy at once, none would arrive in time. A process with an
+// old document must fetch it from one peer at a time.
+func TestDocumentIsFetchedOnce(t *testing.T) {
+	runSim(t, func(s *sim) {
 		const (
 			padding = 400_000
-			narrow  = 10e6 / 8 // bytes a second
+			narrow  = 10e6 / 8 // bytes per second
 		)
 		s.net.Limit(func(process string) float64 {
 			if s.Agents[process] != nil {
@@ -382,10 +383,10 @@
 			before[name] = s.net.Carried(name)
 		}
 		const line = "// A comment of the operators.\n"
-		text := s.published(2, func(*config.Document) {})
+		text := s.changedDocument(2, func(*config.Document) {})
 		s.Config.Publish(append(append(text, '\n'), bytes.Repeat([]byte(line), padding/len(line))...))
-		time.Sleep(inForce)
-		s.allAt(2)
+		time.Sleep(applyTimeout)
+		s.assertAllAt(2)
 		for name := range s.Agents {
 			came := s.net.Carried(name) - before[name]
 			assert.Less(t, came, int64(padding*3/2), name)
@@ -393,21 +394,21 @@
 	})
 }
 
-// TestWorkspaceAtItsTokens: the operators limit a workspace's tokens, and it goes on taking a
-// multiple of them over several entries.
-func TestWorkspaceAtItsTokens(t *testing.T) {
-	simulate(t, func(s *sim) {
-		whole(t, s.draft(load.DraftSpec{}))
+// TestWorkspaceTokenLimit: the operators limit a workspace's tokens. All entries together must
+// enforce the limit; otherwise the workspace could use a multiple of it.
+func TestWorkspaceTokenLimit(t *testing.T) {
+	runSim(t, func(s *sim) {
+		assertComplete(t, s.sendDraft(load.DraftSpec{}))
 		const limit, answer = 60, 100
-		s.publish(2, func(doc *config.Document) {
+		s.publishChanged(2, func(doc *config.Document) {
 			for i := range doc.Workspaces {
 				doc.Workspaces[i].TokensPerSecond = limit
 			}
 		})
-		time.Sleep(inForce)
-		began, tokens, refused := time.Now(), 0, 0
-		for time.Since(began) < 10*time.Second {
-			res := s.draft(load.DraftSpec{MaxTokens: answer})
+		time.Sleep(applyTimeout)
+		start, tokens, refused := time.Now(), 0, 0
+		for time.Since(start) < 10*time.Second {
+			res := s.sendDraft(load.DraftSpec{MaxTokens: answer})
 			switch res.Status {
 			case http.StatusOK:
 				tokens += answer
@@ -417,8 +418,8 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		assert.Positive(t, refused)
-		most := 11*limit + len(s.Plan.Document.Entries)*answer
-		assert.LessOrEqual(t, tokens, most, "ten seconds, a burst, and a request of each entry")
+		maxTokens := 11*limit + len(s.Plan.Document.Entries)*answer
+		assert.LessOrEqual(t, tokens, maxTokens, "limit for 10 s, a burst of 1 s, and one answer per entry")
 		assert.Positive(t, tokens)
 	})
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -17,14 +17,14 @@
 	"ebonypulley/standin"
 )
 
-// Network is what a fleet's processes speak over; a process is named, so that
-// a test's network can tell them apart.
+// Network is the network of a fleet. Listeners and dialers carry the name of their process, so
+// that a test's network can tell processes apart.
 type Network interface {
 	Listen(process, addr string) (net.Listener, error)
 	Dialer(process string) ebonypulley.Dialer
 }
 
-// TCP is the machine's own network.
+// TCP is the network of the host.
 type TCP struct{}
 
 // Listen implements Network.
@@ -33,9 +33,9 @@
 // Dialer implements Network.
 func (TCP) Dialer(string) ebonypulley.Dialer { return nil }
 
-// Fleet is a whole deployment in one process. Processes may be started,
-// killed and drained from several goroutines; the maps may be read while none
-// is started.
+// Fleet is a deployment that runs in one operating-system process. Each daemon and stand-in is
+// a named process of the fleet, which can be started, killed and drained on its own, also
+// concurrently. The exported maps may be read while none is being started.
 type Fleet struct {
 	Plan     *Plan
 	Config   *standin.ConfigService
@@ -43,25 +43,25 @@
 	Services map[string]*standin.PlainService
 	Agents   map[string]*agent.Agent
 	Entries  map[string]*entry.Entry
-	net      Network
+	network  Network
 	group    *ebonypulley.Group
 	log      *event.Log
 	mu       sync.Mutex // guards Agents, Entries and running
 	running  map[string]*process
 }
 
-// process is one running process of a fleet.
+// process is a running daemon or stand-in.
 type process struct {
-	stop  context.CancelFunc
-	ended chan struct{}
+	cancel context.CancelFunc
+	done   chan struct{}
 }
 
-// StartTCP runs a fleet from a document, in a loopback network that is free.
+// StartTCP starts a fleet from a document in a free loopback network.
 func StartTCP(ctx context.Context, doc *config.Document, log *event.Log) (*Fleet, error) {
 	return StartTCPWith(ctx, doc, log, func(*standin.Settings) {})
 }
 
-// StartTCPWith is StartTCP with the settings of each stand-in adjusted.
+// StartTCPWith is StartTCP with a function that may change the settings of each stand-in.
 func StartTCPWith(ctx context.Context, doc *config.Document, log *event.Log, adjust func(*standin.Settings)) (*Fleet, error) {
 	network, err := freeNetwork(doc)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return start(ctx, TCP{}, plan, log)
 }
 
-// Start runs a fleet over a network.
+// Start starts a fleet over a network.
 func Start(ctx context.Context, network Network, doc *config.Document, text []byte, log *event.Log) (*Fleet, error) {
 	plan, err := NewPlan(doc, text)
 	if err != nil {
@@ -97,14 +97,14 @@
 		Services: make(map[string]*standin.PlainService),
 		Agents:   make(map[string]*agent.Agent),
 		Entries:  make(map[string]*entry.Entry),
-		net:      network,
+		network:  network,
 		group:    ebonypulley.NewGroup(ctx),
 		log:      log,
 		running:  make(map[string]*process),
 	}
 	for _, s := range plan.Standins {
 		if err := f.startStandin(s); err != nil {
-			_ = f.Stop() // the error that is returned comes first
+			_ = f.Stop() // err is the cause
 			return nil, err
 		}
 	}
@@ -117,14 +117,14 @@
 	return f, nil
 }
 
-// freeNetwork finds a network in which the first entry's address is free.
-// The search starts at a number of this process, so that two fleets started
-// together do not race for the same one.
+// freeNetwork finds a loopback network in which the first entry's address is free. The search
+// starts at a number derived from the process ID, so that two fleets started at the same time
+// do not race for the same network.
 func freeNetwork(doc *config.Document) (string, error) {
-	const span = lastNetwork - firstNetwork
+	const span = lastLoopbackNetwork - firstLoopbackNetwork
 	for i := range span {
-		network := networkName(firstNetwork + (os.Getpid()+i)%span)
-		ln, err := net.Listen("tcp", rebase(doc.Entries[0].HTTP, network))
+		network := networkName(firstLoopbackNetwork + (os.Getpid()+i)%span)
+		ln, err := net.Listen("tcp", rebaseAddr(doc.Entries[0].HTTP, network))
 		if err == nil {
 			return network, ln.Close()
 		}
@@ -132,16 +132,16 @@
 	return "", errorx.ExternalError.New("no loopback network is free")
 }
 
-// run starts one process of the fleet.
+// run starts a process of the fleet.
 func (f *Fleet) run(name, addr string, serve func(ctx context.Context, ln net.Listener) error) {
 	ctx, stop := context.WithCancel(f.group.Context())
-	p := &process{stop: stop, ended: make(chan struct{})}
+	p := &process{cancel: stop, done: make(chan struct{})}
 	f.mu.Lock()
 	f.running[name] = p
 	f.mu.Unlock()
 	f.group.Go(func(context.Context) error {
-		defer close(p.ended)
-		ln, err := f.net.Listen(name, addr)
+		defer close(p.done)
+		ln, err := f.network.Listen(name, addr)
 		if err != nil {
 			return errorx.ExternalError.Wrap(err, "process %s", name)
 		}
@@ -153,12 +153,12 @@
 	})
 }
 
-// Kill ends a process at once, without a drain. Its connections end as its
-// network ends them.
+// Kill stops a process without a drain and waits for its end. Open connections are left to the
+// fleet's network.
 func (f *Fleet) Kill(name string) {
 	p := f.process(name)
-	p.stop()
-	<-p.ended
+	p.cancel()
+	<-p.done
 }
 
 func (f *Fleet) process(name string) *process {
@@ -167,7 +167,7 @@
 	return f.running[name]
 }
 
-func (f *Fleet) daemon(name string) ebonypulley.Daemon {
+func (f *Fleet) daemonOf(name string) ebonypulley.Daemon {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if a, ok := f.Agents[name]; ok {
@@ -176,18 +176,18 @@
 	return f.Entries[name]
 }
 
-// Drain lets an agent or entry finish and waits for the end of its process.
+// Drain drains an agent or an entry and waits for the end of its process.
 func (f *Fleet) Drain(ctx context.Context, name string) error {
 	p := f.process(name)
-	if err := f.daemon(name).Drain(ctx); err != nil {
+	if err := f.daemonOf(name).Drain(ctx); err != nil {
 		return err
 	}
-	<-p.ended
+	<-p.done
 	return nil
 }
 
-func (f *Fleet) startStandin(s NamedStandin) error {
-	h, err := standin.New(s.Settings, f.net.Dialer(s.Name))
+func (f *Fleet) startStandin(s Standin) error {
+	h, err := standin.New(s.Settings, f.network.Dialer(s.Name))
 	if err != nil {
 		return err
 	}
@@ -205,12 +205,11 @@
 	return nil
 }
 
-// StartAgent runs the agent of an endpoint; after Kill or Drain it runs a
-// successor.
+// StartAgent starts the agent of an endpoint. After Kill or Drain it starts a new incarnation.
 func (f *Fleet) StartAgent(name string) {
 	for _, s := range f.Plan.Agents {
 		if s.Name == name {
-			a := agent.New(s, f.log, f.net.Dialer(name))
+			a := agent.New(s, f.log, f.network.Dialer(name))
 			f.mu.Lock()
 			f.Agents[name] = a
 			f.mu.Unlock()
@@ -219,11 +218,11 @@
 	}
 }
 
-// StartEntry runs an entry, as StartAgent does an agent.
+// StartEntry starts an entry, or a new incarnation of it after Kill or Drain.
 func (f *Fleet) StartEntry(name string) {
 	for _, s := range f.Plan.Entries {
 		if s.Name == name {
-			e := entry.New(s, f.log, f.net.Dialer(name))
+			e := entry.New(s, f.log, f.network.Dialer(name))
 			f.mu.Lock()
 			f.Entries[name] = e
 			f.mu.Unlock()
@@ -232,25 +231,24 @@
 	}
 }
 
-// readyPoll is the pause between two looks in Ready.
-const readyPoll = 20 * time.Millisecond
+const readyPollInterval = 20 * time.Millisecond
 
-// Ready waits until every agent's endpoint is up and every entry is
-// connected to all of them.
+// Ready waits until each entry is connected to the agents of all endpoints and these endpoints
+// are up.
 func (f *Fleet) Ready(ctx context.Context) error {
-	for !f.ready() {
+	for !f.allConnected() {
 		select {
 		case <-ctx.Done():
 			return errorx.TimeoutElapsed.Wrap(ctx.Err(), "the fleet is not ready")
 		case <-f.group.Context().Done():
 			return f.group.Wait()
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) ready() bool {
+func (f *Fleet) allConnected() bool {
 	for _, e := range f.Entries {
 		if e.ReadyEndpoints() < len(f.Plan.Document.Endpoints) {
 			return false
@@ -259,7 +257,7 @@
 	return true
 }
 
-// Held returns how many requests all engines hold.
+// Held returns the number of requests in the memory of all engines.
 func (f *Fleet) Held() int {
 	n := 0
 	for _, e := range f.Engines {
@@ -268,7 +266,7 @@
 	return n
 }
 
-// Runs returns how often each call ran, over all plain services.
+// Runs returns how often each call ran at the plain services.
 func (f *Fleet) Runs() map[string]int {
 	runs := make(map[string]int)
 	for _, s := range f.Services {
@@ -279,8 +277,8 @@
 	return runs
 }
 
-// Stop ends all processes at once. It logs and returns the error of one that failed before, which
-// ended the others.
+// Stop stops all processes. If one of them has failed before, which stops the others too, Stop
+// logs and returns its error.
 func (f *Fleet) Stop() error {
 	f.group.Stop()
 	err := f.group.Wait()
--- a/fleet/gate_test.go
+++ b/fleet/gate_test.go
@@ -15,17 +15,18 @@
 	"ebonypulley/wire"
 )
 
-// staleEntry speaks to an agent as an entry with any view could.
-type staleEntry struct {
+// rawEntry speaks the wire protocol to an agent directly, and so can send what an entry with an
+// old document would.
+type rawEntry struct {
 	s    *sim
 	conn *wire.Conn
 	in   chan wire.Message
 }
 
-func (s *sim) stale(agent string) *staleEntry { return s.connect(agent, wire.NewID(), 1) }
+func (s *sim) connectRaw(agent string) *rawEntry { return s.connectNumbered(agent, wire.NewID(), 1) }
 
-// connect opens a numbered connection of an entry's incarnation.
-func (s *sim) connect(agent string, inc wire.Incarnation, number uint64) *staleEntry {
+// connectNumbered opens a connection with this number of an entry's incarnation.
+func (s *sim) connectNumbered(agent string, inc wire.Incarnation, number uint64) *rawEntry {
 	addr := ""
 	for _, a := range s.Plan.Agents {
 		if a.Name == agent {
@@ -34,16 +35,16 @@
 	}
 	nc, err := s.net.Dialer("stale-entry")(s.t.Context(), "tcp", addr)
 	require.NoError(s.t, err)
-	e := &staleEntry{s: s, conn: wire.NewConn(nc), in: make(chan wire.Message, 100)}
+	e := &rawEntry{s: s, conn: wire.NewConn(nc), in: make(chan wire.Message, 100)}
 	go func() { _ = e.conn.Serve(context.Background(), func(m wire.Message) { e.in <- m }) }()
 	e.send(&wire.Hello{Version: wire.Version, Role: "entry", Name: "stale-entry", Incarnation: inc, Connection: number, Generation: 99})
 	return e
 }
 
-func (e *staleEntry) send(m wire.Message) { require.NoError(e.s.t, e.conn.Send(m)) }
+func (e *rawEntry) send(m wire.Message) { require.NoError(e.s.t, e.conn.Send(m)) }
 
-// answer returns the next message about an attempt.
-func (e *staleEntry) answer() wire.Message {
+// nextAttemptMessage returns the next message about an attempt.
+func (e *rawEntry) nextAttemptMessage() wire.Message {
 	for {
 		select {
 		case m := <-e.in:
@@ -51,21 +52,21 @@
 				return m
 			}
 		case <-time.After(3 * time.Second):
-			e.s.t.Error("no answer")
+			e.s.t.Error("no message about an attempt within 3 s")
 			return nil
 		}
 	}
 }
 
-func (e *staleEntry) refused() wire.Reason {
-	r, ok := e.answer().(*wire.Refused)
-	if !assert.True(e.s.t, ok, "not refused") {
+func (e *rawEntry) refusalReason() wire.Reason {
+	r, ok := e.nextAttemptMessage().(*wire.Refused)
+	if !assert.True(e.s.t, ok, "the attempt was not refused") {
 		return ""
 	}
 	return r.Reason
 }
 
-func (s *sim) offer(agent string) *wire.Offer {
+func (s *sim) newOffer(agent string) *wire.Offer {
 	e := s.Plan.Document.Endpoint(agent)
 	svc := s.Plan.Document.Pool(e.Pool).Service
 	return &wire.Offer{
@@ -74,153 +75,153 @@
 	}
 }
 
-const app, decode = "alm-a-app-1", "alm-a-decode-1"
+const appEndpoint, decodeEndpoint = "alm-a-app-1", "alm-a-decode-1"
 
-// Story: an entry with an old document thinks that a booking may be repeated,
-// or that a key has another owner. The agent, which knows better, refuses
-// before anything runs.
-func TestAgentRefusesOldViews(t *testing.T) {
-	simulate(t, func(s *sim) {
-		e := s.stale(app)
+// TestAgentRefusesStaleConfig: an entry with an old document assumes that a booking may be
+// retried, that a key has another owner or that a route exists. The agent has the newer
+// document and must refuse before anything runs.
+func TestAgentRefusesStaleConfig(t *testing.T) {
+	runSim(t, func(s *sim) {
+		e := s.connectRaw(appEndpoint)
 		defer e.conn.Close()
-		o := s.offer(app)
+		o := s.newOffer(appEndpoint)
 		o.Idempotent = true
 		e.send(o)
-		assert.Equal(t, wire.StaleConfig, e.refused())
-		o = s.offer(app)
+		assert.Equal(t, wire.StaleConfig, e.refusalReason())
+		o = s.newOffer(appEndpoint)
 		o.Key, o.Members = newKey(), 1
 		e.send(o)
-		assert.Equal(t, wire.StaleConfig, e.refused())
-		o = s.offer(app)
+		assert.Equal(t, wire.StaleConfig, e.refusalReason())
+		o = s.newOffer(appEndpoint)
 		o.Route = "closed-last-year"
 		e.send(o)
-		assert.Equal(t, wire.StaleConfig, e.refused())
+		assert.Equal(t, wire.StaleConfig, e.refusalReason())
 	})
 }
 
-// Story: the document no longer has an endpoint, but an entry that missed it
-// sends work there. The gate refuses, from the moment its agent knows.
+// TestRemovedAgentRefuses: an entry that has missed the removal of an endpoint sends work
+// there. The agent must refuse it as soon as it has the new document.
 func TestRemovedAgentRefuses(t *testing.T) {
-	simulate(t, func(s *sim) {
-		e, d := s.stale(app), s.stale(decode)
+	runSim(t, func(s *sim) {
+		e, d := s.connectRaw(appEndpoint), s.connectRaw(decodeEndpoint)
 		defer e.conn.Close()
 		defer d.conn.Close()
-		s.publish(2, func(doc *config.Document) {
-			without(app)(doc)
-			without(decode)(doc)
+		s.publishChanged(2, func(doc *config.Document) {
+			withoutEndpoint(appEndpoint)(doc)
+			withoutEndpoint(decodeEndpoint)(doc)
 		})
-		time.Sleep(inForce)
-		e.send(s.offer(app))
-		assert.Equal(t, wire.Draining, e.refused())
+		time.Sleep(applyTimeout)
+		e.send(s.newOffer(appEndpoint))
+		assert.Equal(t, wire.Draining, e.refusalReason())
 		d.send(&wire.Reserve{ID: wire.NewID(), Tokens: 10, Deadline: time.Minute, Model: "drafting"})
-		assert.Equal(t, wire.Draining, d.refused())
-		s.publish(3, func(*config.Document) {}) // an addition after the removal
-		time.Sleep(inForce)
-		e.send(s.offer(app))
-		_, ok := e.answer().(*wire.Granted)
+		assert.Equal(t, wire.Draining, d.refusalReason())
+		s.publishChanged(3, func(*config.Document) {}) // adds the endpoints again
+		time.Sleep(applyTimeout)
+		e.send(s.newOffer(appEndpoint))
+		_, ok := e.nextAttemptMessage().(*wire.Granted)
 		assert.True(t, ok)
 	})
 }
 
-// Story: an entry that was paused sends the Start that it had ready for the
-// agent's predecessor. The successor must not run it, and its "not run" is
-// about itself only, which the entry knows by the incarnation.
+// TestStartForPredecessorNeverRuns: an entry resumes after a pause and sends a Start that was
+// meant for the agent's predecessor. The new agent must not run it. Its "not run" covers its
+// own incarnation only, which the entry recognizes by the incarnation in the Start.
 func TestStartForPredecessorNeverRuns(t *testing.T) {
-	simulate(t, func(s *sim) {
-		e := s.stale(app)
+	runSim(t, func(s *sim) {
+		e := s.connectRaw(appEndpoint)
 		defer e.conn.Close()
-		o := s.offer(app)
+		o := s.newOffer(appEndpoint)
 		e.send(o)
-		_, ok := e.answer().(*wire.Granted)
+		_, ok := e.nextAttemptMessage().(*wire.Granted)
 		require.True(t, ok)
 		e.send(&wire.Start{ID: o.ID, Incarnation: wire.NewID(), Headers: []wire.Header{{Name: "X-Call-Id", Value: "late"}}})
-		out, ok := e.answer().(*wire.Outcome)
+		out, ok := e.nextAttemptMessage().(*wire.Outcome)
 		require.True(t, ok)
 		assert.Equal(t, wire.NotRun, out.State)
-		e.send(&wire.Start{ID: o.ID, Incarnation: s.Agents[app].Incarnation(), Headers: []wire.Header{{Name: "X-Call-Id", Value: "late"}}})
-		_, _ = e.answer().(*wire.Outcome)
-		assert.Zero(t, s.runsOf("late"))
+		e.send(&wire.Start{ID: o.ID, Incarnation: s.Agents[appEndpoint].Incarnation(), Headers: []wire.Header{{Name: "X-Call-Id", Value: "late"}}})
+		_, _ = e.nextAttemptMessage().(*wire.Outcome)
+		assert.Zero(t, s.runCount("late"))
 	})
 }
 
-// Story: the caller goes away while the connection between entry and agent is
-// silent, so the first Cancel is lost. The fresh connection renews the lease;
-// only the repeated Cancel frees the memory.
+// TestCancelIsRepeated: the caller disconnects while the connection between entry and agent is
+// silent, so that the first Cancel is lost. The new connection renews the lease, so only a
+// repeated Cancel frees the memory.
 func TestCancelIsRepeated(t *testing.T) {
-	simulate(t, func(s *sim) {
-		s.only(0)
+	runSim(t, func(s *sim) {
+		s.useOnlyEntry(0)
 		began := time.Now()
 		ctx, leave := context.WithTimeout(s.t.Context(), 2*midAnswer)
 		defer leave()
-		during(midAnswer, func() { s.net.Silence(s.entry(0), s.busy()) }, func() load.Result {
-			return s.caller.Draft(ctx, s.random(), load.DraftSpec{Key: paidKey, Prompt: "A long letter", Stream: true, MaxTokens: 512})
+		withFault(midAnswer, func() { s.net.Silence(s.entryName(0), s.busyEndpoint()) }, func() load.Result {
+			return s.caller.Draft(ctx, s.newRand(), load.DraftSpec{Key: paidKey, Prompt: "A long letter", Stream: true, MaxTokens: 512})
 		})
-		assert.Positive(t, s.Held(), "the first Cancel was not lost")
-		s.freedWithin(3*time.Second - time.Since(began))
+		assert.Positive(t, s.Held(), "the first Cancel must be lost")
+		s.requireFreedWithin(3*time.Second - time.Since(began))
 	})
 }
 
-// Story: an agent sleeps; its endpoint is given to an agent elsewhere, which
-// orders another model; the first one wakes and sees the wrong model. An
-// engine that checks fencing numbers keeps the later order, and the sleeper
-// takes no more work for it.
-func TestLateAgentCannotOrderBack(t *testing.T) {
-	simulate(t, func(s *sim) {
-		client := engine.NewClient(s.Plan.Document.Endpoint(decode).URL, s.client)
-		require.True(t, s.Plan.Document.Endpoint(decode).ChecksFence)
+// TestFencedAgentCannotRevertOrder: an agent is paused, and its endpoint is given to another
+// agent, which orders another model. When the first agent resumes, it sees the wrong model. The
+// engine checks fencing numbers, so it must keep the later order, and the first agent must take
+// no more work for it.
+func TestFencedAgentCannotRevertOrder(t *testing.T) {
+	runSim(t, func(s *sim) {
+		client := engine.NewClient(s.Plan.Document.Endpoint(decodeEndpoint).URL, s.client)
+		require.True(t, s.Plan.Document.Endpoint(decodeEndpoint).ChecksFence)
 		order := engine.Order{Fence: uint64(time.Now().UnixNano()), Model: "another", Role: "decode"}
 		require.NoError(t, client.Order(s.t.Context(), order))
 		time.Sleep(3 * time.Second)
 		state, err := client.State(s.t.Context())
 		require.NoError(t, err)
 		assert.Equal(t, "another", state.Model)
-		assert.True(t, s.Agents[decode].Stats().Down)
-		whole(t, s.draft(load.DraftSpec{}))
+		assert.True(t, s.Agents[decodeEndpoint].Stats().Down)
+		assertComplete(t, s.sendDraft(load.DraftSpec{}))
 	})
 }
 
-// Story: an engine restarts and has forgotten its model. Its agent orders it
-// again, and it serves.
-func TestRestartedEngineIsOrdered(t *testing.T) {
-	simulate(t, func(s *sim) {
+// TestRestartedEngineGetsItsModel: restarted engines have lost their model. Their agents must
+// order it again.
+func TestRestartedEngineGetsItsModel(t *testing.T) {
+	runSim(t, func(s *sim) {
 		for _, e := range s.Engines {
 			e.Crash()
 		}
 		time.Sleep(3 * time.Second)
-		whole(t, s.draft(load.DraftSpec{}))
+		assertComplete(t, s.sendDraft(load.DraftSpec{}))
 	})
 }
 
-// Story: an agent wakes from a pause and finds two connections of one entry,
-// the first given up long ago. It happens to greet the later one first. The
-// replies must go to the later one all the same, or the entry waits for its
-// grants until the deadline, and a drain of the agent waits with it.
+// TestRepliesGoToTheLatestConnection: an agent resumes after a pause and finds two connections
+// of one entry, the first of them abandoned long ago, and reads the Hello of the later one
+// first. Replies must go to the later connection; otherwise the entry waits for its grants
+// until the deadline, and so does a drain of the agent.
 func TestRepliesGoToTheLatestConnection(t *testing.T) {
-	simulate(t, func(s *sim) {
-		for _, name := range []string{app, decode} {
+	runSim(t, func(s *sim) {
+		for _, name := range []string{appEndpoint, decodeEndpoint} {
 			inc := wire.NewID()
-			later := s.connect(name, inc, 2)
+			later := s.connectNumbered(name, inc, 2)
 			time.Sleep(100 * time.Millisecond)
-			earlier := s.connect(name, inc, 1)
+			earlier := s.connectNumbered(name, inc, 1)
 			time.Sleep(100 * time.Millisecond)
 			earlier.conn.Close()
 			time.Sleep(100 * time.Millisecond)
-			if name == app {
-				later.send(s.offer(app))
+			if name == appEndpoint {
+				later.send(s.newOffer(appEndpoint))
 			} else {
 				later.send(&wire.Reserve{ID: wire.NewID(), Tokens: 10, Deadline: time.Minute, Model: "drafting"})
 			}
-			_, ok := later.answer().(*wire.Granted)
+			_, ok := later.nextAttemptMessage().(*wire.Granted)
 			assert.True(t, ok, name)
 			later.conn.Close()
 		}
 	})
 }
 
-// Story: garbage, and a peer that is not one, reach an agent's port. They are
-// shown the door; the agent serves on.
-func TestAgentPortTakesGarbage(t *testing.T) {
-	simulate(t, func(s *sim) {
+// TestAgentPortRejectsGarbage: bytes that are not the protocol arrive at an agent's port. The
+// agent must close the connection and go on serving.
+func TestAgentPortRejectsGarbage(t *testing.T) {
+	runSim(t, func(s *sim) {
 		for _, garbage := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x01\x01\xc0", "\xff\xff\xff\xff\xff"} {
 			nc, err := s.net.Dialer("stranger")(s.t.Context(), "tcp", s.Plan.Agents[0].Listen)
 			require.NoError(t, err)
@@ -231,6 +232,6 @@
 			require.Error(t, err)
 			assert.NotErrorIs(t, err, os.ErrDeadlineExceeded, "%q", garbage)
 		}
-		whole(t, s.draft(load.DraftSpec{}))
+		assertComplete(t, s.sendDraft(load.DraftSpec{}))
 	})
 }
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -1,6 +1,6 @@
-// Package fleet lays out the processes of a deployment from its configuration
-// document, with stand-ins in the platform's place: as settings files for
-// separate processes, or in one process for the demo.
+// Package fleet lays out the processes of a deployment from its configuration document, with
+// stand-ins for the services of the platform. The layout is either written as settings files
+// for separate processes or run in one process.
 package fleet
 
 import (
@@ -20,25 +20,25 @@
 	"ebonypulley/standin"
 )
 
-// Platform are the addresses of the platform's stand-ins.
-type Platform struct {
+// PlatformAddrs holds the addresses of the stand-ins for the platform's services.
+type PlatformAddrs struct {
 	Config  string
 	VMs     string
 	Weights string
 }
 
-// Plan is every process of a deployment.
+// Plan holds the settings of all processes of a deployment.
 type Plan struct {
 	Document *config.Document
 	Text     []byte
-	Platform Platform
-	Standins []NamedStandin
+	Platform PlatformAddrs
+	Standins []Standin
 	Agents   []agent.Settings
 	Entries  []entry.Settings
 }
 
-// NamedStandin is a stand-in with a name for logs and files.
-type NamedStandin struct {
+// Standin is a stand-in with a name for logs and file names.
+type Standin struct {
 	Name     string
 	Settings standin.Settings
 }
@@ -47,15 +47,15 @@
 	configPort  = 7001
 	vmsPort     = 7002
 	weightsPort = 7003
-	// vmLag is how late the VM list's stand-in is.
-	vmLag = 3 * time.Second
-	// loadTime is how long the weight store's stand-in needs for a model.
-	loadTime = 200 * time.Millisecond
-	// debugOffset is the distance of a debug port from the served one.
-	debugOffset = 1
+	// vmListLag is the delay with which the VM list's stand-in shows changes.
+	vmListLag = 3 * time.Second
+	// modelLoadTime is the time in which the weight store's stand-in loads a model.
+	modelLoadTime = 200 * time.Millisecond
+	// debugPortOffset is added to the port that a process serves to get its debug port.
+	debugPortOffset = 1
 )
 
-// NewPlan lays out the processes of a document. The platform's stand-ins get
+// NewPlan lays out the processes of a configuration document. The platform's stand-ins get
 // addresses in the network of the first entry.
 func NewPlan(doc *config.Document, text []byte) (*Plan, error) {
 	if len(doc.Entries) == 0 {
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Plan{Document: doc, Text: text, Platform: Platform{
+	p := &Plan{Document: doc, Text: text, Platform: PlatformAddrs{
 		Config:  netip.AddrPortFrom(host, configPort).String(),
 		VMs:     netip.AddrPortFrom(host, vmsPort).String(),
 		Weights: netip.AddrPortFrom(host, weightsPort).String(),
@@ -82,7 +82,7 @@
 	return p, nil
 }
 
-// platformHost returns x.y.0.1 of the network that addr is in.
+// platformHost returns the host x.y.0.1 in the /16 network of addr.
 func platformHost(addr string) (netip.Addr, error) {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil || !ap.Addr().Is4() {
@@ -99,9 +99,9 @@
 		names = append(names, e.Name)
 	}
 	p.Standins = append(p.Standins,
-		NamedStandin{"config", standin.Settings{Kind: standin.KindConfig, Listen: p.Platform.Config}},
-		NamedStandin{"vms", standin.Settings{Kind: standin.KindVMs, Listen: p.Platform.VMs, VMs: names, Lag: jsonc.Duration(vmLag)}},
-		NamedStandin{"weights", standin.Settings{Kind: standin.KindWeights, Listen: p.Platform.Weights, LoadTime: jsonc.Duration(loadTime)}},
+		Standin{"config", standin.Settings{Kind: standin.KindConfig, Listen: p.Platform.Config}},
+		Standin{"vms", standin.Settings{Kind: standin.KindVMs, Listen: p.Platform.VMs, VMs: names, Lag: jsonc.Duration(vmListLag)}},
+		Standin{"weights", standin.Settings{Kind: standin.KindWeights, Listen: p.Platform.Weights, LoadTime: jsonc.Duration(modelLoadTime)}},
 	)
 }
 
@@ -119,12 +119,12 @@
 		s.Engine.Requests = pool.Requests
 		s.Engine.WeightStore = "http://" + p.Platform.Weights
 	}
-	p.Standins = append(p.Standins, NamedStandin{e.Name + "-engine", s})
+	p.Standins = append(p.Standins, Standin{e.Name + "-engine", s})
 	p.Agents = append(p.Agents, agent.Settings{
 		Name:          e.Name,
 		DataCentre:    e.DataCentre,
 		Listen:        e.Agent,
-		Debug:         debugAddress(e.Agent),
+		Debug:         debugAddr(e.Agent),
 		ConfigService: "http://" + p.Platform.Config,
 	})
 	return nil
@@ -135,57 +135,57 @@
 		Name:          e.Name,
 		DataCentre:    e.DataCentre,
 		Listen:        e.HTTP,
-		Debug:         debugAddress(e.HTTP),
+		Debug:         debugAddr(e.HTTP),
 		ConfigService: "http://" + p.Platform.Config,
 		VMList:        "http://" + p.Platform.VMs,
 		Seeds:         p.seeds(e.DataCentre),
 	})
 }
 
-// seedCount is how many agents an entry can ask for the document.
-const seedCount = 4
+// maxSeeds is the maximum number of agents that an entry can ask for the document at its start.
+const maxSeeds = 4
 
-// seeds returns agents, those in the entry's data centre first.
+// seeds returns the seed agents of an entry, up to half of them from its own data centre, these
+// first.
 func (p *Plan) seeds(dc string) []string {
-	var near, far []string
+	var local, remote []string
 	for _, e := range p.Document.Endpoints {
 		if e.DataCentre == dc {
-			near = append(near, e.Agent)
+			local = append(local, e.Agent)
 		} else {
-			far = append(far, e.Agent)
+			remote = append(remote, e.Agent)
 		}
 	}
-	all := append(near[:min(len(near), seedCount/2)], far...)
-	return all[:min(len(all), seedCount)]
+	all := append(local[:min(len(local), maxSeeds/2)], remote...)
+	return all[:min(len(all), maxSeeds)]
 }
 
-func debugAddress(addr string) string {
+func debugAddr(addr string) string {
 	ap := netip.MustParseAddrPort(addr)
-	return netip.AddrPortFrom(ap.Addr(), ap.Port()+debugOffset).String()
+	return netip.AddrPortFrom(ap.Addr(), ap.Port()+debugPortOffset).String()
 }
 
-// Rebase moves all addresses of a document into another /16 network, such as
-// "127.77", so that several fleets fit on one machine. It returns the
-// document with its text.
+// Rebase moves all addresses of a document into another /16 network, such as "127.77", so that
+// several fleets fit on one machine. It returns the new document and its text.
 func Rebase(doc *config.Document, network string) (*config.Document, []byte, error) {
 	moved := *doc
 	moved.Entries = append([]config.Entry(nil), doc.Entries...)
 	moved.Endpoints = append([]config.Endpoint(nil), doc.Endpoints...)
 	for i := range moved.Entries {
-		moved.Entries[i].HTTP = rebase(moved.Entries[i].HTTP, network)
+		moved.Entries[i].HTTP = rebaseAddr(moved.Entries[i].HTTP, network)
 	}
 	for i := range moved.Endpoints {
 		e := &moved.Endpoints[i]
-		e.Agent = rebase(e.Agent, network)
+		e.Agent = rebaseAddr(e.Agent, network)
 		if u, err := url.Parse(e.URL); err == nil {
-			u.Host = rebase(u.Host, network)
+			u.Host = rebaseAddr(u.Host, network)
 			e.URL = u.String()
 		}
 	}
-	return format(&moved)
+	return marshalDocument(&moved)
 }
 
-func format(doc *config.Document) (*config.Document, []byte, error) {
+func marshalDocument(doc *config.Document) (*config.Document, []byte, error) {
 	text, err := json.MarshalIndent(doc, "", " ")
 	if err != nil {
 		return nil, nil, errorx.IllegalArgument.Wrap(err, "format")
@@ -194,7 +194,7 @@
 	return checked, text, findings.Err()
 }
 
-func rebase(addr, network string) string {
+func rebaseAddr(addr, network string) string {
 	parts := strings.SplitN(addr, ".", 3)
 	if len(parts) != 3 {
 		return addr
@@ -202,11 +202,11 @@
 	return network + "." + parts[2]
 }
 
-// loopbackNetworks is how many /16 networks of the loopback range the demo
-// tries; it begins above those of the examples.
+// The /16 networks of the loopback range that freeNetwork tries, by the second byte of the
+// address. They begin above those of the example documents.
 const (
-	firstNetwork = 30
-	lastNetwork  = 250
+	firstLoopbackNetwork = 30
+	lastLoopbackNetwork  = 250
 )
 
 func networkName(second int) string { return "127." + strconv.Itoa(second) }
--- a/fleet/sim_test.go
+++ b/fleet/sim_test.go
@@ -28,8 +28,7 @@
 	trialKey = "trial-key"
 )
 
-// sim is a small fleet of the real daemons over a faulty network, in virtual
-// time.
+// sim is a small fleet of the real daemons over a network with faults, in virtual time.
 type sim struct {
 	*fleet.Fleet
 	t      *testing.T
@@ -39,8 +38,8 @@
 	seed   atomic.Uint64
 }
 
-// kept are the endpoints of Almaty's document that the small fleet has.
-var kept = map[string]bool{
+// smallFleet names the endpoints of the example document that the fleet has.
+var smallFleet = map[string]bool{
 	"alm-a-prefill-1": true, "alm-b-prefill-1": true,
 	"alm-a-decode-1": true, "alm-b-decode-1": true,
 	"alm-a-app-1": true, "alm-b-app-1": true,
@@ -51,7 +50,7 @@
 	require.NoError(t, findings.Err())
 	endpoints := doc.Endpoints[:0]
 	for _, e := range doc.Endpoints {
-		if kept[e.Name] {
+		if smallFleet[e.Name] {
 			endpoints = append(endpoints, e)
 		}
 	}
@@ -62,9 +61,8 @@
 	return doc
 }
 
-// simulate runs fn against a fleet that is ready; a violated invariant fails
-// the test.
-func simulate(t *testing.T, fn func(s *sim)) {
+// runSim runs fn against a fleet that is ready. A violated invariant fails the test.
+func runSim(t *testing.T, fn func(s *sim)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		restore := invariant.SetHandler(func(rule invariant.Rule, detail string) {
@@ -80,7 +78,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		require.NoError(t, f.Ready(ctx))
-		time.Sleep(3 * time.Second) // keys minted from now on are new to the agents
+		time.Sleep(3 * time.Second) // agents accept idempotency keys created from now on
 		client := n.Dialer("caller").HTTPClient(false)
 		s := &sim{Fleet: f, t: t, net: n, client: client, caller: f.Caller(client)}
 		balancing, stop := context.WithCancel(t.Context())
@@ -88,16 +86,16 @@
 		fn(s)
 		stop()
 		client.CloseIdleConnections()
-		assert.NoError(t, f.Stop(), "a process failed, which ends all")
+		assert.NoError(t, f.Stop(), "a process failed")
 		n.Close()
-		time.Sleep(time.Second) // what is still closing ends
+		time.Sleep(time.Second) // connections finish closing
 	})
 }
 
-// random returns a source of its own for each request.
-func (s *sim) random() *rand.Rand { return rand.New(rand.NewPCG(1, s.seed.Add(1))) }
+// newRand returns a random source for one request.
+func (s *sim) newRand() *rand.Rand { return rand.New(rand.NewPCG(1, s.seed.Add(1))) }
 
-func (s *sim) draft(d load.DraftSpec) load.Result {
+func (s *sim) sendDraft(d load.DraftSpec) load.Result {
 	if d.Key == "" {
 		d.Key = paidKey
 	}
@@ -107,16 +105,16 @@
 	if d.MaxTokens == 0 {
 		d.MaxTokens = 64
 	}
-	return s.caller.Draft(s.t.Context(), s.random(), d)
+	return s.caller.Draft(s.t.Context(), s.newRand(), d)
 }
 
-func (s *sim) book(spec load.CallSpec) load.Result {
+func (s *sim) sendBooking(spec load.CallSpec) load.Result {
 	spec.Kind, spec.Key = load.Booking, paidKey
-	return s.caller.Call(s.t.Context(), s.random(), spec)
+	return s.caller.Call(s.t.Context(), s.newRand(), spec)
 }
 
-// during runs request while fault is brought about after a delay.
-func during(delay time.Duration, fault func(), request func() load.Result) load.Result {
+// withFault runs request and causes fault after a delay.
+func withFault(delay time.Duration, fault func(), request func() load.Result) load.Result {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -128,9 +126,9 @@
 	return res
 }
 
-// busy returns the decode endpoint whose engine holds a request.
-func (s *sim) busy() string {
-	for name := range kept {
+// busyEndpoint returns the decode endpoint whose engine holds a request.
+func (s *sim) busyEndpoint() string {
+	for name := range smallFleet {
 		if e, ok := s.Engines[name+"-engine"]; ok && e.Stats().Held > 0 {
 			return name
 		}
@@ -139,26 +137,26 @@
 	return ""
 }
 
-func (s *sim) entry(i int) string { return s.Plan.Entries[i].Name }
+func (s *sim) entryName(i int) string { return s.Plan.Entries[i].Name }
 
-// only makes all requests go to one entry.
-func (s *sim) only(i int) {
+// useOnlyEntry sends all requests to one entry.
+func (s *sim) useOnlyEntry(i int) {
 	s.caller.Balancer = load.NewBalancer(s.client, fleet.URLs(s.Plan.Document)[i:i+1])
 }
 
-// crash ends a process as a signal does: its connections are closed.
+// crash kills a process; its connections are closed, as after a signal.
 func (s *sim) crash(name string) {
 	s.Kill(name)
 	s.net.Crash(name)
 }
 
-// powerCut ends a process and its VM: its connections go silent.
+// powerCut kills a process with its VM; its connections go silent without being closed.
 func (s *sim) powerCut(name string) {
 	s.net.Vanish(name)
 	s.Kill(name)
 }
 
-func (s *sim) count(metric string) int64 {
+func (s *sim) sumMetric(metric string) int64 {
 	var n int64
 	for _, e := range s.Entries {
 		n += e.Metrics().Count(metric)
@@ -166,8 +164,8 @@
 	return n
 }
 
-// freedWithin waits until no engine holds a request and fails after limit.
-func (s *sim) freedWithin(limit time.Duration) {
+// requireFreedWithin waits until no engine holds a request. It fails the test after limit.
+func (s *sim) requireFreedWithin(limit time.Duration) {
 	s.t.Helper()
 	began := time.Now()
 	for s.Held() > 0 {
@@ -179,11 +177,11 @@
 	s.t.Logf("engine memory free after %s", time.Since(began))
 }
 
-func whole(t *testing.T, r load.Result) {
+func assertComplete(t *testing.T, r load.Result) {
 	t.Helper()
 	assert.Equal(t, http.StatusOK, r.Status, r.Reason)
-	assert.False(t, r.Broken, "broken off")
+	assert.False(t, r.Broken, "the answer was aborted")
 	assert.Empty(t, r.Mismatch)
 }
 
-func (s *sim) fault(endpoint string, f standin.Fault) { s.Engines[endpoint+"-engine"].Fault(f) }
+func (s *sim) injectFault(endpoint string, f standin.Fault) { s.Engines[endpoint+"-engine"].Fault(f) }
