--- a/wire/accept.go
+++ b/wire/accept.go
@@ -9,12 +9,13 @@
 	"ebonypulley/event"
 )
 
-// acceptPause is the wait after a failed Accept: most likely the process has
-// no descriptor left, and some are freed in that time.
-const acceptPause = 500 * time.Millisecond
+// acceptRetryDelay is the delay before the next Accept after a failed one. The
+// most likely cause is that the process is out of file descriptors; some are
+// closed in that time.
+const acceptRetryDelay = 500 * time.Millisecond
 
-// Accept hands each connection of ln to fn until ctx ends, and closes ln then.
-// Fn must not block.
+// Accept calls fn with each connection that ln accepts. It returns when ctx
+// ends, which also closes ln. fn must not block.
 func Accept(ctx context.Context, ln net.Listener, log *event.Log, fn func(net.Conn)) {
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
 	defer stop()
@@ -25,7 +26,7 @@
 		}
 		if err != nil {
 			log.Emit(event.AcceptFailed, event.Err(err))
-			ebonypulley.Sleep(ctx, acceptPause)
+			ebonypulley.Sleep(ctx, acceptRetryDelay)
 			continue
 		}
 		fn(nc)
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -8,66 +8,67 @@
 )
 
 const (
-	// outQueue is the number of bytes that may wait for a slow peer.
-	outQueue = 8 << 20
-	// writeTimeout ends a connection whose peer takes nothing any more.
+	// maxQueuedBytes is the maximum number of bytes queued for a slow peer.
+	maxQueuedBytes = 8 << 20
+	// writeTimeout bounds one write; the connection to a peer that has stopped
+	// reading is closed when it expires.
 	writeTimeout = 5 * time.Second
 )
 
-// Conn is a framed connection. Send may be called from many goroutines;
-// Serve runs the reading side.
+// Conn is a connection that carries frames. Send and SendFrame are safe for
+// concurrent use; Serve runs the reading side.
 //
-// Frames are collected while the previous write is in progress and written
-// together, so that a busy connection costs one system call for many tokens.
+// Frames that are queued while a write is in progress are written together, so
+// that a busy connection needs one system call for many tokens.
 type Conn struct {
-	nc     net.Conn
-	mu     sync.Mutex
-	wake   *sync.Cond
-	out    []byte
-	closed bool
-	last   time.Time // of the last byte read
+	nc       net.Conn
+	mu       sync.Mutex
+	queued   *sync.Cond
+	queue    []byte
+	closed   bool
+	lastRead time.Time // when the last byte was read
 }
 
-// NewConn starts the writing side on nc.
+// NewConn returns a Conn on nc and starts its writing side. The Conn owns nc.
 func NewConn(nc net.Conn) *Conn {
-	c := &Conn{nc: nc, last: time.Now()}
-	c.wake = sync.NewCond(&c.mu)
-	go c.write()
+	c := &Conn{nc: nc, lastRead: time.Now()}
+	c.queued = sync.NewCond(&c.mu)
+	go c.writeLoop()
 	return c
 }
 
-// Send queues m. It returns ErrClosed when the connection has ended or its
-// queue is full, which ends it. It never blocks on the network.
+// Send queues m without blocking on the network. It returns ErrClosed if the
+// connection is closed. A full queue closes the connection.
 func (c *Conn) Send(m Message) error {
-	return c.queue(func(out []byte) ([]byte, error) { return AppendFrame(out, m) })
+	return c.enqueue(func(out []byte) ([]byte, error) { return AppendFrame(out, m) })
 }
 
-// SendFrame queues what AppendFrame made of a message, which saves the encoding
-// of one that goes to many. Errors are those of Send.
+// SendFrame queues a frame made by AppendFrame, so that a message to many peers
+// is encoded once. It returns the same errors as Send.
 func (c *Conn) SendFrame(frame []byte) error {
-	return c.queue(func(out []byte) ([]byte, error) { return append(out, frame...), nil })
+	return c.enqueue(func(out []byte) ([]byte, error) { return append(out, frame...), nil })
 }
 
-func (c *Conn) queue(add func(out []byte) ([]byte, error)) error {
+func (c *Conn) enqueue(add func(out []byte) ([]byte, error)) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		return ErrClosed.New("connection has ended")
+		return ErrClosed.New("connection is closed")
 	}
-	out, err := add(c.out)
+	out, err := add(c.queue)
 	if err != nil {
 		return err
 	}
-	c.out = out
-	if len(c.out) > outQueue {
+	c.queue = out
+	if len(c.queue) > maxQueuedBytes {
 		c.closeLocked()
-		return ErrClosed.New("peer takes nothing: %d bytes are waiting", len(out))
+		return ErrClosed.New("send queue is full: %d bytes", len(out))
 	}
-	c.wake.Signal()
+	c.queued.Signal()
 	return nil
 }
 
-// Close ends the connection.
+// Close closes the connection and drops what is queued.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,28 +80,29 @@
 		return
 	}
 	c.closed = true
-	c.out = nil
-	c.wake.Broadcast()
+	c.queue = nil
+	c.queued.Broadcast()
 	_ = c.nc.Close()
 }
 
-// Silence returns how long nothing has been read.
+// Silence returns the time since the last byte was read.
 func (c *Conn) Silence(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Sub(c.last)
+	return now.Sub(c.lastRead)
 }
 
-// Remote returns the peer's address.
+// Remote returns the address of the peer.
 func (c *Conn) Remote() string { return c.nc.RemoteAddr().String() }
 
-// Serve reads messages and hands them to handle, one after the other, until
-// the connection or ctx ends. Handle must not block.
+// Serve reads messages and calls handle with one after the other, until the
+// connection or ctx ends; then the connection is closed. It returns the error
+// that ended the reading. handle must not block.
 func (c *Conn) Serve(ctx context.Context, handle func(Message)) error {
 	stop := context.AfterFunc(ctx, c.Close)
 	defer stop()
 	defer c.Close()
-	r := NewReader(heardReader{c})
+	r := NewReader(activityReader{c})
 	for {
 		m, err := r.Next()
 		if err != nil {
@@ -110,45 +112,44 @@
 	}
 }
 
-// heardReader notes when bytes come.
-//
-// A large frame on a narrow link takes longer than a
-// connection may be silent, so that it is replaced in the middle and the frame
-// sent again from its first byte. It shows as a configuration that never
-// arrives. The guard holds because a part of a frame is a sign of life too.
-type heardReader struct {
+// activityReader records when bytes arrive, including those in the middle of a
+// frame. Otherwise a large frame on a narrow link, which takes longer than the
+// idle timeout, would get its connection replaced and be sent again from its
+// first byte, so that a large configuration document would never arrive.
+type activityReader struct {
 	c *Conn
 }
 
-func (r heardReader) Read(p []byte) (int, error) {
+func (r activityReader) Read(p []byte) (int, error) {
 	n, err := r.c.nc.Read(p)
 	if n > 0 {
 		r.c.mu.Lock()
-		r.c.last = time.Now()
+		r.c.lastRead = time.Now()
 		r.c.mu.Unlock()
 	}
 	return n, err
 }
 
-func (c *Conn) write() {
+// writeLoop writes the queued frames until the connection is closed.
+func (c *Conn) writeLoop() {
 	var batch []byte
 	for {
 		c.mu.Lock()
-		for len(c.out) == 0 && !c.closed {
-			c.wake.Wait()
+		for len(c.queue) == 0 && !c.closed {
+			c.queued.Wait()
 		}
 		if c.closed {
 			c.mu.Unlock()
 			return
 		}
-		batch, c.out = c.out, batch[:0]
+		batch, c.queue = c.queue, batch[:0]
 		c.mu.Unlock()
 		_ = c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := c.nc.Write(batch); err != nil {
 			c.Close()
 			return
 		}
-		if cap(batch) > keepBody {
+		if cap(batch) > maxKeptBuffer {
 			batch = nil
 		}
 	}
--- a/wire/frame.go
+++ b/wire/frame.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	headerBytes = 5 // 4 of length, 1 of kind
-	// MaxFrame is the longest frame in bytes: the largest request body or
-	// configuration document with room for its envelope.
+	headerSize = 5 // bytes: 4 of body length, 1 of kind
+	// MaxFrame is the maximum length of a frame's body in bytes. It fits the
+	// largest request body or configuration document with its other fields.
 	MaxFrame = 4 << 20
 )
 
 var (
 	wireErrors = errorx.NewNamespace("wire")
-	// ErrFrame is returned for a frame that is too long, of an unknown kind
-	// or not decodable. The connection must be closed.
+	// ErrFrame is returned for a frame that is too long, has an unknown kind
+	// or can't be decoded. The connection must then be closed.
 	ErrFrame = wireErrors.NewType("frame")
-	// ErrClosed is returned for a connection that has ended.
+	// ErrClosed is returned for a send on a closed connection.
 	ErrClosed = wireErrors.NewType("closed")
 )
 
@@ -49,17 +49,17 @@
 		return dst, ErrFrame.Wrap(err, "encode kind %d", m.Kind())
 	}
 	if e.buf.Len() > MaxFrame {
-		return dst, ErrFrame.New("kind %d of %d bytes is longer than %d", m.Kind(), e.buf.Len(), MaxFrame)
+		return dst, ErrFrame.New("message of kind %d has %d bytes; the maximum is %d", m.Kind(), e.buf.Len(), MaxFrame)
 	}
 	dst = binary.BigEndian.AppendUint32(dst, uint32(e.buf.Len()))
 	dst = append(dst, byte(m.Kind()))
 	return append(dst, e.buf.Bytes()...), nil
 }
 
-// Reader reads frames.
+// Reader reads frames. It is not safe for concurrent use.
 type Reader struct {
 	r    *bufio.Reader
-	head [headerBytes]byte
+	head [headerSize]byte
 	body []byte
 	src  bytes.Reader
 	dec  *msgpack.Decoder
@@ -67,34 +67,37 @@
 
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader {
-	fr := &Reader{r: bufio.NewReaderSize(r, readBuffer)}
+	fr := &Reader{r: bufio.NewReaderSize(r, readBufferSize)}
 	fr.dec = msgpack.NewDecoder(&fr.src)
 	return fr
 }
 
 const (
-	readBuffer = 4 << 10
-	// growStep bounds what a false length can make a reader allocate before
-	// the bytes have arrived.
-	growStep = 64 << 10
-	// keepBody is the largest body buffer kept between frames.
-	keepBody = 64 << 10
+	readBufferSize = 4 << 10 // bytes
+	// maxReadStep is the number of bytes by which a body buffer grows at a time.
+	// It bounds the memory that a false length in a header can make a reader
+	// allocate.
+	maxReadStep = 64 << 10
+	// maxKeptBuffer is the size in bytes of the largest buffer that is kept for
+	// the next frame or write.
+	maxKeptBuffer = 64 << 10
 )
 
-// Next returns the next message, io.EOF at a clean end, or ErrFrame.
+// Next returns the next message. The error is ErrFrame for a malformed frame,
+// else that of the read: io.EOF if the stream ends between two frames.
 func (r *Reader) Next() (Message, error) {
 	if _, err := io.ReadFull(r.r, r.head[:]); err != nil {
 		return nil, err
 	}
 	n := int(binary.BigEndian.Uint32(r.head[:4]))
 	if n > MaxFrame {
-		return nil, ErrFrame.New("frame of %d bytes is longer than %d", n, MaxFrame)
+		return nil, ErrFrame.New("frame has %d bytes; the maximum is %d", n, MaxFrame)
 	}
 	m := newMessage(Kind(r.head[4]))
 	if m == nil {
 		return nil, ErrFrame.New("unknown kind %d", r.head[4])
 	}
-	body, err := r.read(n)
+	body, err := r.readBody(n)
 	if err != nil {
 		return nil, err
 	}
@@ -108,19 +111,20 @@
 		return ErrFrame.Wrap(err, "decode kind %d", m.Kind())
 	}
 	if r.src.Len() != 0 {
-		return ErrFrame.New("%d bytes behind a message of kind %d", r.src.Len(), m.Kind())
+		return ErrFrame.New("%d trailing bytes after a message of kind %d", r.src.Len(), m.Kind())
 	}
 	return nil
 }
 
-// read returns n bytes in a buffer that grows only as they arrive.
-func (r *Reader) read(n int) ([]byte, error) {
-	if cap(r.body) > keepBody {
+// readBody reads n bytes into a buffer that grows only as they arrive. The
+// result is valid until the next call.
+func (r *Reader) readBody(n int) ([]byte, error) {
+	if cap(r.body) > maxKeptBuffer {
 		r.body = nil
 	}
 	r.body = r.body[:0]
 	for len(r.body) < n {
-		step := min(n-len(r.body), growStep)
+		step := min(n-len(r.body), maxReadStep)
 		at := len(r.body)
 		r.body = append(r.body, make([]byte, step)...)
 		if _, err := io.ReadFull(r.r, r.body[at:]); err != nil {
--- a/wire/grow.go
+++ b/wire/grow.go
@@ -7,46 +7,48 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// Messages between entries can grow: in a roll, entries of two versions talk to each
-// other. The fields of the first version are sent as a list, which takes the fewest bytes.
-// A message in which a later field is set is sent by the names of its fields. A receiver
-// passes over fields that it does not know, and reads lists of any length; one that is
-// missing is zero, and each field says what zero means.
+// Report and Reply can get new fields, because entries of two releases exchange them during
+// a rolling upgrade. The fields of the first version are encoded as an array, which takes
+// the fewest bytes. If a field that was added later is set, the message is encoded as a map
+// from field names to values. A receiver skips fields that it does not know and accepts
+// arrays of any length; a missing field is zero, and each field documents what zero means.
 //
-// A field is added, and each version refuses the reports of the
-// other. It shows as engines that are overfilled and parts of the retry budget that are too
-// large while a release is rolled out. The guard holds because no number of fields is wrong.
+// If an added field made the releases refuse each other's reports, entries would overload
+// engines and take too large shares of the retry budget during the upgrade.
 
-// Numbers of the fields that the first version has; those behind them came later.
+// Numbers of fields in the first version of the messages; later fields follow them.
 const (
-	firstOfReport = 11
-	firstOfReply  = 8
+	reportV1Fields = 11
+	replyV1Fields  = 8
 )
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
-func (m *Report) EncodeMsgpack(e *msgpack.Encoder) error { return encode(e, m, firstOfReport) }
+func (m *Report) EncodeMsgpack(e *msgpack.Encoder) error {
+	return encodeVersioned(e, m, reportV1Fields)
+}
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (m *Report) DecodeMsgpack(d *msgpack.Decoder) error {
 	type fields Report
-	return decodeNamed(d, (*fields)(m))
+	return decodeMapOrArray(d, (*fields)(m))
 }
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
-func (m *Reply) EncodeMsgpack(e *msgpack.Encoder) error { return encode(e, m, firstOfReply) }
+func (m *Reply) EncodeMsgpack(e *msgpack.Encoder) error { return encodeVersioned(e, m, replyV1Fields) }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (m *Reply) DecodeMsgpack(d *msgpack.Decoder) error {
 	type fields Reply
-	return decodeNamed(d, (*fields)(m))
+	return decodeMapOrArray(d, (*fields)(m))
 }
 
-// encode encodes a struct as a list of its first fields if no later one is set.
-func encode(e *msgpack.Encoder, m any, first int) error {
+// encodeVersioned encodes a struct as an array of its first fields, or as a map if a later
+// field is set.
+func encodeVersioned(e *msgpack.Encoder, m any, first int) error {
 	v := reflect.ValueOf(m).Elem()
 	for i := first; i < v.NumField(); i++ {
 		if !v.Field(i).IsZero() {
-			return encodeNamed(e, v)
+			return encodeMap(e, v)
 		}
 	}
 	if err := e.EncodeArrayLen(first); err != nil {
@@ -60,8 +62,8 @@
 	return nil
 }
 
-// encodeNamed encodes the fields of a struct that are not zero, by their names.
-func encodeNamed(e *msgpack.Encoder, v reflect.Value) error {
+// encodeMap encodes a struct as a map from field names to values, without zero fields.
+func encodeMap(e *msgpack.Encoder, v reflect.Value) error {
 	set := 0
 	for i := range v.NumField() {
 		if !v.Field(i).IsZero() {
@@ -85,8 +87,8 @@
 	return nil
 }
 
-// decodeNamed decodes a struct from the names of its fields, or from a list of them.
-func decodeNamed(d *msgpack.Decoder, m any) error {
+// decodeMapOrArray decodes a struct that was encoded by encodeMap or as an array.
+func decodeMapOrArray(d *msgpack.Decoder, m any) error {
 	code, err := d.PeekCode()
 	if err != nil {
 		return err
@@ -94,10 +96,12 @@
 	if !msgpcode.IsFixedArray(code) && code != msgpcode.Array16 {
 		return d.Decode(m)
 	}
-	return decodeList(d, reflect.ValueOf(m).Elem())
+	return decodeArray(d, reflect.ValueOf(m).Elem())
 }
 
-func decodeList(d *msgpack.Decoder, v reflect.Value) error {
+// decodeArray decodes an array into the fields of v in their order and skips elements beyond
+// the last field.
+func decodeArray(d *msgpack.Decoder, v reflect.Value) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
 		return err
--- a/wire/header.go
+++ b/wire/header.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// hopByHop are the headers that concern one connection only (RFC 9110,
-// section 7.6.1) and are not passed on.
+// hopByHop holds the headers that apply to a single connection and are not
+// forwarded (RFC 9110, section 7.6.1).
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -19,17 +19,18 @@
 	"Upgrade":             true,
 }
 
-// Headers returns the end-to-end headers of h.
+// Headers returns the end-to-end headers of h: all but the hop-by-hop ones and
+// those that its Connection header lists.
 func Headers(h http.Header) []Header {
-	named := make(map[string]bool)
+	perConnection := make(map[string]bool)
 	for _, v := range h.Values("Connection") {
 		for name := range strings.SplitSeq(v, ",") {
-			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			perConnection[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
 	var list []Header
 	for name, values := range h {
-		if hopByHop[name] || named[name] {
+		if hopByHop[name] || perConnection[name] {
 			continue
 		}
 		for _, v := range values {
--- a/wire/kinds.go
+++ b/wire/kinds.go
@@ -123,6 +123,7 @@
 // Attempt implements Attempted.
 func (m *Outcome) Attempt() ID { return m.ID }
 
+// newMessage returns an empty message of kind k, or nil if k is unknown.
 func newMessage(k Kind) Message {
 	switch k {
 	case KindHello:
--- a/wire/message.go
+++ b/wire/message.go
@@ -1,5 +1,6 @@
-// Package wire is the protocol between the system's own processes: length
-// framed msgpack messages over one TCP connection for each pair of processes.
+// Package wire implements the protocol between entries and agents and among
+// entries: length-prefixed msgpack messages over one TCP connection for each
+// pair of processes.
 //
 // Every message about an attempt carries its ID, and every request message is
 // idempotent by that ID: after a reconnect the sender repeats its last one.
@@ -11,11 +12,11 @@
 	"github.com/google/uuid"
 )
 
-// Version is the protocol version; peers with another one are refused.
+// Version is the protocol version. Peers with another version are refused.
 const Version = 1
 
-// ID identifies one attempt. It is a UUIDv7, so that it is unique without
-// agreement and ordered by time.
+// ID identifies one attempt. It is a UUIDv7: unique without coordination, and
+// ordered by time.
 type ID [16]byte
 
 // NewID returns a new ID.
@@ -23,7 +24,7 @@
 	return ID(uuid.Must(uuid.NewV7()))
 }
 
-// String returns the usual form of a UUID.
+// String returns the canonical text form of the UUID.
 func (id ID) String() string { return uuid.UUID(id).String() }
 
 // Incarnation identifies one run of a process. It changes with each start, so
@@ -63,33 +64,37 @@
 	kindEnd
 )
 
-// Message is one of the message types of this package.
+// Message is implemented by the message types of this package.
 type Message interface {
 	Kind() Kind
 }
 
-// Attempted is a message about one attempt.
+// Attempted is implemented by the messages about one attempt.
 type Attempted interface {
 	Message
 	Attempt() ID
 }
 
-// Hello is the first message in each direction.
+// Hello is the first message on a connection in each direction.
 type Hello struct {
 	Version     int
 	Role        string
 	Name        string
 	DataCentre  string
 	Incarnation Incarnation
-	// Connection counts the dialling side's connections to this peer.
+	// Connection is the number of this connection among those that the
+	// dialling process has made to this peer.
 	Connection uint64
+	// Generation and Digest are the version of the sender's configuration
+	// document, as in config.Version.
 	Generation uint64
 	Digest     uint64
 }
 
-// Load is an agent's word about its endpoint; it rides on every reply.
+// Load is the load of an endpoint as its agent reports it, in each Pong and
+// each reply about an attempt except Chunk and Cancelled.
 type Load struct {
-	// Active is the number of requests held by the endpoint.
+	// Active is the number of requests that the endpoint holds.
 	Active int
 	// Waiting is the number of requests queued at the agent.
 	Waiting int
@@ -97,97 +102,103 @@
 	Capacity int
 	// Backlog is the endpoint's queued prefill work in tokens.
 	Backlog int
-	// CacheEpoch changes when the engine's prefix cache was lost.
+	// CacheEpoch changes when the engine has lost its prefix cache.
 	CacheEpoch uint64
-	// Draining says that the agent takes no new work.
+	// Draining is set while the agent accepts no new work.
 	Draining bool
-	// Down says that the agent cannot reach its endpoint.
+	// Down is set while the agent can't reach its endpoint.
 	Down bool
 }
 
 // Ping is a heartbeat from the dialling side. It renews all leases that the
 // sender holds at the receiver.
 type Ping struct {
-	Seq        uint64
+	Seq uint64
+	// Generation and Digest are as in Hello.
 	Generation uint64
 	Digest     uint64
 }
 
 // Pong answers a Ping.
 type Pong struct {
-	Seq        uint64
+	// Seq is that of the Ping.
+	Seq uint64
+	// Generation and Digest are as in Hello.
 	Generation uint64
 	Digest     uint64
 	Load       Load
 }
 
-// ConfigWanted asks a peer that has a newer configuration document for it.
+// ConfigWanted asks a peer for its configuration document, which is newer than
+// the sender's.
 type ConfigWanted struct{}
 
 // Config answers ConfigWanted.
 type Config struct {
+	// Text is the configuration document.
 	Text []byte
 }
 
-// Reserve asks a decode agent for engine memory.
+// Reserve asks a decode agent for a lease on engine memory.
 type Reserve struct {
 	ID ID
-	// Tokens is prompt plus longest answer.
+	// Tokens is the prompt's length plus the maximum length of the answer.
 	Tokens   int
 	Priority int
-	// Spare confines the request to capacity outside the headroom.
+	// Spare restricts the request to capacity outside the reserved headroom.
 	Spare bool
 	// Wait is how long the request may queue at the agent.
 	Wait time.Duration
-	// Deadline is the time left to the request as a whole.
+	// Deadline is the time left until the request's deadline.
 	Deadline time.Duration
 	// Model is the model that the engine must serve.
 	Model string
 }
 
-// Granted answers Reserve and Offer.
+// Granted accepts a Reserve or an Offer.
 type Granted struct {
 	ID   ID
 	Load Load
 }
 
-// Reason says why work was refused or failed.
+// Reason is the reason for a refusal or a failure.
 type Reason string
 
 // Reasons.
 const (
-	// Full: no room now, and no place in the queue.
+	// Full: the endpoint and the agent's queue have no room.
 	Full Reason = "full"
-	// WaitedOut: the wait in the queue ended without a grant.
+	// WaitedOut: the request queued for its maximum time without a grant.
 	WaitedOut Reason = "waited_out"
-	// Draining: the agent takes no new work.
+	// Draining: the agent accepts no new work.
 	Draining Reason = "draining"
-	// EndpointDown: the agent cannot reach its endpoint.
+	// EndpointDown: the agent can't reach its endpoint.
 	EndpointDown Reason = "endpoint_down"
 	// NoConfig: the agent has no configuration yet.
 	NoConfig Reason = "no_config"
-	// WrongRole: the endpoint does not do this work.
+	// WrongRole: the endpoint does not do this kind of work.
 	WrongRole Reason = "wrong_role"
-	// LeaseLost: the lease expired or never existed here.
+	// LeaseLost: the lease has expired, or the agent never granted it.
 	LeaseLost Reason = "lease_lost"
-	// ResultLost: the prefill result expired or its engine is gone.
+	// ResultLost: the prefill result has expired, or its engine is gone.
 	ResultLost Reason = "result_lost"
-	// TransferStalled: the KV transfer was cut.
+	// TransferStalled: the KV transfer stalled and was cut.
 	TransferStalled Reason = "transfer_stalled"
 	// EngineLost: the engine lost the request.
 	EngineLost Reason = "engine_lost"
 	// Withdrawn: the attempt was withdrawn before its start.
 	Withdrawn Reason = "withdrawn"
-	// KeyUnknown: the memory of Idempotency-Keys does not reach back far
-	// enough to tell whether the call ran.
+	// KeyUnknown: the agent's record of Idempotency-Keys does not reach back
+	// far enough to know whether the call ran.
 	KeyUnknown Reason = "key_unknown"
 	// KeyReused: the Idempotency-Key belongs to another call.
 	KeyReused Reason = "key_reused"
 	// KeyRunning: the first call with this key is still running.
 	KeyRunning Reason = "key_running"
-	// KeyDone: the first call with this key ran; its answer is gone.
+	// KeyDone: the first call with this key ran; its answer is not kept any
+	// more.
 	KeyDone Reason = "key_done"
-	// KeyMemory: no memory is left for another key.
+	// KeyMemory: there is no memory for another key.
 	KeyMemory Reason = "key_memory"
 	// DeadlinePassed: the request's deadline passed before its start.
 	DeadlinePassed Reason = "deadline_passed"
@@ -195,12 +206,12 @@
 	StaleConfig Reason = "stale_config"
 )
 
-// Refused answers Reserve, Offer, Start and Prefill: nothing ran for this ID
+// Refused answers Reserve, Offer, Start and Prefill: nothing ran for this ID,
 // and nothing will.
 type Refused struct {
 	ID     ID
 	Reason Reason
-	// RetryAfter is when asking again makes sense; 0 if unknown.
+	// RetryAfter is how long to wait before a retry; 0 if unknown.
 	RetryAfter time.Duration
 	Load       Load
 }
@@ -211,84 +222,87 @@
 	Model    string
 	Prompt   string
 	Priority int
-	Spare    bool
-	// Wait is how long the work may queue.
-	Wait time.Duration
+	// Spare and Wait are as in Reserve.
+	Spare bool
+	Wait  time.Duration
 }
 
 // Prefilled answers Prefill.
 type Prefilled struct {
 	ID ID
 	KV KVRef
-	// PromptTokens is the length of the prompt, CachedTokens how much of it
-	// the engine's prefix cache had.
+	// PromptTokens is the length of the prompt, CachedTokens the part of it
+	// that was in the engine's prefix cache.
 	PromptTokens int
 	CachedTokens int
 	Load         Load
 }
 
-// KVRef is where a prefill result can be fetched.
+// KVRef refers to a prefill result, the KV cache of a prompt, at its engine.
 type KVRef struct {
-	// URL is the prefill engine.
+	// URL is the base URL of the prefill engine.
 	URL string
 	// Endpoint is the name of the prefill endpoint.
 	Endpoint string
-	// Handle names the result at its engine.
+	// Handle identifies the result at the engine.
 	Handle string
 	// Bytes is the size of the KV cache.
 	Bytes int64
-	// Lives is the time that is left to fetch it.
+	// Lives is the time left to fetch the result.
 	Lives time.Duration
 }
 
 // Decode asks the decode agent that granted a lease to import the prefill
-// result and to generate. Repeated after a reconnect it resumes the stream
-// at token Next.
+// result and to generate. Repeated after a reconnect, it resumes the stream.
 type Decode struct {
 	ID        ID
 	KV        KVRef
 	MaxTokens int
-	Next      int
-	Priority  int
+	// Next is the number of the first token to send.
+	Next     int
+	Priority int
 }
 
-// Chunk carries tokens; the first one has number From.
+// Chunk carries tokens of an answer.
 type Chunk struct {
-	ID     ID
+	ID ID
+	// From is the number of the first of Tokens in the answer.
 	From   int
 	Tokens []string
 }
 
-// Ack tells that all tokens below Next arrived; it opens the window.
+// Ack acknowledges all tokens below Next and advances the flow control window.
 type Ack struct {
 	ID   ID
 	Next int
 }
 
-// Finish ends an answer of Tokens tokens.
+// Finish ends an answer.
 type Finish struct {
-	ID     ID
+	ID ID
+	// Tokens is the number of tokens of the answer.
 	Tokens int
-	// Why is "stop" or "length".
+	// Why is the finish reason: "stop" or "length".
 	Why  string
 	Load Load
 }
 
-// Failed ends an attempt that did start.
+// Failed ends an attempt that had been started.
 type Failed struct {
 	ID     ID
 	Reason Reason
-	// KVAlive says that the prefill result can still be used elsewhere.
+	// KVAlive is set if another endpoint can still use the prefill result.
 	KVAlive bool
 	Load    Load
 }
 
-// Cancel frees all that the attempt holds. It is repeated until Cancelled.
+// Cancel frees all that the attempt holds. It is repeated until Cancelled
+// arrives.
 type Cancel struct {
 	ID ID
 }
 
-// Cancelled acknowledges Cancel: nothing is held for the attempt any more.
+// Cancelled acknowledges Cancel: the attempt holds nothing any more.
 type Cancelled struct {
 	ID ID
 }
@@ -299,7 +313,8 @@
 	Value string
 }
 
-// Offer asks a plain agent to admit a call; nothing runs before Start.
+// Offer asks the agent of a plain service to admit a call, which runs with
+// Start.
 type Offer struct {
 	ID         ID
 	Service    string
@@ -308,57 +323,64 @@
 	Path       string
 	Idempotent bool
 	Priority   int
-	Spare      bool
-	Wait       time.Duration
-	Deadline   time.Duration
-	// Workspace and Key scope the Idempotency-Key; an empty Key means none.
+	// Spare, Wait and Deadline are as in Reserve.
+	Spare    bool
+	Wait     time.Duration
+	Deadline time.Duration
+	// Key is the Idempotency-Key, which is unique within Workspace; empty for
+	// a call without one.
 	Workspace string
 	Key       string
-	// Members identifies the declared owners of keys, as the entry has them.
+	// Members is a hash of the set of endpoints that own idempotency keys,
+	// from the entry's configuration.
 	Members uint64
-	// Fingerprint tells whether two calls with one key are the same call.
+	// Fingerprint is a hash of the call: calls with the same key must have the
+	// same fingerprint.
 	Fingerprint uint64
 }
 
-// Start runs an offered call. It names the incarnation that granted it.
+// Start runs an offered call.
 type Start struct {
-	ID          ID
+	ID ID
+	// Incarnation is that of the agent that granted the Offer.
 	Incarnation Incarnation
 	Query       string
 	Headers     []Header
 	Body        []byte
 }
 
-// Withdraw asks for the final word about an attempt: one that did not start
-// never will.
+// Withdraw asks for the state of an attempt. An attempt that has not started
+// by then never will.
 type Withdraw struct {
 	ID ID
 }
 
-// State is the final or current state of a plain attempt.
+// State is the state of a call to a plain service.
 type State string
 
-// States of a plain attempt.
+// States.
 const (
-	// NotRun: it did not run and never will.
+	// NotRun: the call did not run and never will.
 	NotRun State = "not-run"
-	// Running: it was started and has no answer yet.
+	// Running: the call was started and has no answer yet.
 	Running State = "running"
-	// Done: the answer follows in the Outcome.
+	// Done: the call has run; the Outcome has its answer.
 	Done State = "done"
-	// Unknown: it was started and its answer is lost.
+	// Unknown: the call was started and its answer is lost.
 	Unknown State = "unknown"
 )
 
 // Outcome answers Start and Withdraw.
 type Outcome struct {
-	ID      ID
-	State   State
-	Reason  Reason
+	ID    ID
+	State State
+	// Reason is always empty: no sender sets it.
+	Reason Reason
+	// Status, Headers and Body are the answer of a call that is Done.
 	Status  int
 	Headers []Header
 	Body    []byte
-	// Replayed says that the answer is that of an earlier call with the same
+	// Replayed is set if the answer is that of an earlier call with the same
 	// Idempotency-Key.
 	Replayed bool
 	Load     Load
--- a/wire/report.go
+++ b/wire/report.go
@@ -7,105 +7,110 @@
 	"ebonypulley/revision"
 )
 
-// EndpointWork is an entry's own work at one endpoint.
+// EndpointWork is an entry's own load on one endpoint.
 type EndpointWork struct {
 	Endpoint string
-	// Calls, Prefill, Decodes and KV are as in router.Load.
+	// Calls, Prefill, Decodes and KV are as the fields of router.Load.
 	Calls, Prefill, Decodes, KV int
 }
 
-// AvoidedEndpoint is an endpoint that an entry found silent or gone, or an attempt
-// that failed there.
+// AvoidedEndpoint is an endpoint that an entry observed to be silent or gone, or at
+// which an attempt failed.
 type AvoidedEndpoint struct {
 	Endpoint string
-	// Age is how old that evidence is, Left how long the entry still avoids
-	// the endpoint for it: zero for a failed attempt.
+	// Age is the time since the observation, Left how long the entry will still avoid
+	// the endpoint because of it: zero for a failed attempt.
 	Age, Left time.Duration
 }
 
-// Report is what one entry tells another; but for Crashes each is whole, so that any
-// of them may be lost.
+// Report is the state that an entry sends to another one. Each report replaces the one
+// before, except for Crashes, so that any report may be lost.
 type Report struct {
-	// From is where the sender listens for other entries.
+	// From is the address where the sender listens for other entries.
 	From        string
 	DataCentre  string
 	Incarnation Incarnation
-	// Members are some of the entries that the sender has heard lately.
+	// Members are some of the entries from which the sender has received reports lately.
 	Members []string
-	// Work is all of the sender's work.
+	// Work is the sender's own load on all endpoints.
 	Work []EndpointWork
-	// Avoided is what the sender itself found silent, gone or failing, no hearsay.
+	// Avoided are the sender's own observations, not those of other entries.
 	Avoided []AvoidedEndpoint
-	// Demand is what comes to the sender for model engines.
+	// Demand is the rate of requests for model engines that the sender receives.
 	Demand []ServiceDemand
-	// Revision is that of the sender's catalog.
+	// Revision is the revision of the sender's catalog, without its era.
 	Revision uint64
 	// Behind asks for newer published entries, because the sender can't read
-	// them itself.
+	// the store itself.
 	Behind bool
-	// Link is the capacity of the sender's own link in Mbit/s, 0 if unknown.
+	// Link is the capacity of the sender's link in Mbit/s, 0 if unknown.
 	Link float64
-	// NoStore says that the sender's last read of the platform failed.
+	// NoStore is set if the sender's last read of the store failed.
 	NoStore bool
-	// Crashes are news of requests that ran where endpoints crashed, each told once on a
-	// connection; unlike the rest of a report they do not replace what was told before.
+	// Crashes are updates about requests that ran at endpoints while these crashed. Each is
+	// sent once on a connection and adds to the earlier ones.
 	Crashes []Crash
-	// Most is the most entries that the sender knew at a time lately, MostAge how long
-	// ago that was; zero says nothing.
+	// Most is the largest recent fleet size that the sender knows of, MostAge the time
+	// since then; zero if unknown.
 	Most    int
 	MostAge time.Duration
-	// CrashRates holds, for each of Crashes, how often an endpoint crashed then, in
-	// crashes a second. It is a list of its own because Crash can't grow: a receiver
+	// CrashRates holds, for each of Crashes, the rate of endpoint crashes at that time, in
+	// crashes a second. It is a separate list because Crash can't get new fields: a receiver
 	// refuses a nested struct with another number of fields.
 	CrashRates []float64
-	// Use is the sender's own use of workspaces that have a limit, as far as it is told.
+	// Use is the sender's own use of workspaces that have a limit, as far as it is reported.
 	Use []WorkspaceUse
-	// Limits are what endpoints said of their limits to the sender, no hearsay.
+	// Limits are limits that endpoints advertised to the sender itself.
 	Limits []EndpointLimit
-	// Era is that of Revision; zero for the first one, and from a sender that knows none.
+	// Era is the era of Revision; zero for the first era, or if unknown.
 	Era uint64
-	// Centres and Links are the data centre and the capacity of the link in Mbit/s of each
-	// of Members; a sender that knows none leaves them out.
+	// Centres and Links are the data centre and the link capacity in Mbit/s of each of
+	// Members; both are empty if unknown.
 	Centres []string
 	Links   []float64
-	// Counted says that the sender takes Most for the number of all entries.
+	// Counted is set if the sender takes Most for the number of all entries.
 	Counted bool
-	// Unsure asks for what the receiver kept when the store came back from a copy.
+	// Unsure asks for the published entries that the receiver kept from before the store
+	// was restored from a backup.
 	Unsure bool
 }
 
-// EndpointLimit is what an endpoint said of its limit, as in quota.Statement.
+// EndpointLimit is a limit that an endpoint advertised, as in quota.Statement.
 type EndpointLimit struct {
-	Endpoint  uint64
+	// Endpoint is the endpoint's quota.ID.
+	Endpoint uint64
+	// Named is set if the endpoint advertises a limit, of PerSecond requests a second.
 	Named     bool
 	PerSecond float64
-	Age       time.Duration
+	// Age is the time since it was advertised.
+	Age time.Duration
 }
 
 // At returns the revision of the sender's catalog.
 func (m *Report) At() revision.Revision { return revision.Revision{Era: m.Era, Count: m.Revision} }
 
-// WorkspaceUse is an entry's own use of a workspace, as in quota.Use.
+// WorkspaceUse is an entry's own use of a workspace in tokens, as in quota.Use.
 type WorkspaceUse struct {
+	// Workspace is the workspace's quota.ID.
 	Workspace       uint64
 	Epoch           uint32
 	Taken, Returned uint64
 }
 
-// ServiceDemand is what comes for a service's engines in a second.
+// ServiceDemand is the rate of requests for the engines of a service.
 type ServiceDemand struct {
 	Service string
-	// Calls are generations, Tokens those of their prompts.
+	// Calls is the number of generations a second, Tokens that of their prompt tokens.
 	Calls, Tokens float64
 }
 
-// Published is one published entry.
+// Published is one published entry: a key of the store with its value.
 type Published struct {
 	Key      string
 	Value    []byte
 	Revision uint64
 	Removed  bool
-	// Manifest stands for a large value, which is then left out.
+	// Manifest replaces a large value; Value is empty then.
 	Manifest *parts.Manifest
 }
 
@@ -113,62 +118,64 @@
 type Reply struct {
 	DataCentre string
 	Members    []string
-	// Age is how old the sender's knowledge of the platform is.
+	// Age is the age of the sender's copy of the published entries.
 	Age time.Duration
-	// Entries are those newer than the Report's revision, if it asked.
+	// Entries are the published entries newer than the Report's revision, if it asked for
+	// them.
 	Entries []Published
-	// UpTo is the revision up to which Entries are complete; 0 without.
+	// UpTo is the revision up to which Entries are complete; 0 without Entries.
 	UpTo uint64
-	// Link is the capacity of the sender's own link in Mbit/s, 0 if unknown.
+	// Link is the capacity of the sender's link in Mbit/s, 0 if unknown.
 	Link float64
-	// NoStore says that the sender's last read of the platform failed.
+	// NoStore is set if the sender's last read of the store failed.
 	NoStore bool
-	// Revision is that of the sender's catalog.
+	// Revision is the revision of the sender's catalog, without its era.
 	Revision uint64
-	// Era is that of Revision, UpTo and the entries' revisions; zero for the first one, and
-	// from a sender that knows none.
+	// Era is the era of Revision, UpTo and the revisions of Entries; zero for the first era,
+	// or if unknown.
 	Era uint64
 	// Centres and Links are as in Report.
 	Centres []string
 	Links   []float64
-	// Keys are those of all published entries at Revision, if the sender does not know all
-	// that was removed before Entries; nil otherwise.
+	// Keys are the keys of all published entries at Revision, if the sender does not know
+	// all removals before Entries; nil otherwise.
 	Keys []string
-	// Most, MostAge and Counted are as in Report; zero but for the first reply on a connection.
+	// Most, MostAge and Counted are as in Report, in the first reply on a connection only.
 	Most    int
 	MostAge time.Duration
 	Counted bool
-	// Corrects says that Entries were written after what the receiver has at the same
-	// revisions; UpTo is 0 then.
+	// Corrects is set if Entries were written later than what the receiver has under the
+	// same revisions; UpTo is 0 then.
 	Corrects bool
 }
 
 // At returns the revision of the sender's catalog.
 func (m *Reply) At() revision.Revision { return revision.Revision{Era: m.Era, Count: m.Revision} }
 
-// CompleteTo returns the revision up to which the entries are complete.
+// CompleteTo returns the revision up to which Entries are complete.
 func (m *Reply) CompleteTo() revision.Revision { return revision.Revision{Era: m.Era, Count: m.UpTo} }
 
-// Crash tells of one content that an endpoint crashed under it, or that it was answered
-// whole.
+// Crash reports that an endpoint crashed while a request with some content ran there, or
+// that such a request got its complete answer.
 type Crash struct {
-	// Content is the digest of what a caller asked for.
+	// Content is the content hash of the request.
 	Content uint64
-	// Endpoint crashed; empty for a whole answer.
+	// Endpoint is the one that crashed; empty for a complete answer.
 	Endpoint string
-	// Age is how long ago that was, Lasted how long the request had been there.
+	// Age is the time since then, Lasted how long the request had been at the endpoint.
 	Age, Lasted time.Duration
-	// Ran: it had brought events there for a while.
+	// Ran is set if the request had produced events there for a while.
 	Ran bool
 }
 
-// Wanted asks for parts of large values. The answer is Parts, however few of
-// them the receiver still has.
+// Wanted asks for parts of large values. The receiver answers with Parts, even if it has
+// few or none of them any more.
 type Wanted struct {
+	// Digests identify the parts.
 	Digests []uint64
 }
 
-// Parts answers Wanted with some of the parts, packed.
+// Parts answers Wanted with some of the parts, compressed.
 type Parts struct {
 	Packed [][]byte
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -17,7 +17,7 @@
 	"ebonypulley/wire"
 )
 
-func samples() []wire.Message {
+func sampleMessages() []wire.Message {
 	id := wire.NewID()
 	return []wire.Message{
 		&wire.Hello{Version: wire.Version, Role: "entry", Name: "alm-a-entry-1", DataCentre: "alm-a", Incarnation: id, Generation: 3},
@@ -46,13 +46,13 @@
 
 func TestFramesRoundTrip(t *testing.T) {
 	var stream []byte
-	for _, m := range samples() {
+	for _, m := range sampleMessages() {
 		var err error
 		stream, err = wire.AppendFrame(stream, m)
 		require.NoError(t, err)
 	}
 	r := wire.NewReader(bytes.NewReader(stream))
-	for _, want := range samples() {
+	for _, want := range sampleMessages() {
 		got, err := r.Next()
 		require.NoError(t, err)
 		assert.Equal(t, want.Kind(), got.Kind())
@@ -61,23 +61,23 @@
 	assert.Equal(t, io.EOF, err)
 }
 
-func TestGarbageIsRefused(t *testing.T) {
+func TestMalformedFrames(t *testing.T) {
 	header := func(n uint32, kind byte) []byte { return append(binary.BigEndian.AppendUint32(nil, n), kind) }
 	for name, bad := range map[string][]byte{
-		"too long":     header(wire.MaxFrame+1, byte(wire.KindPing)),
-		"unknown kind": append(header(1, 200), 0xc0),
-		"kind zero":    append(header(1, 0), 0xc0),
-		"not msgpack":  append(header(3, byte(wire.KindPing)), 0xc1, 0xc1, 0xc1),
-		"bytes behind": append(header(3, byte(wire.KindCancel)), 0x90, 0xc0, 0xc0),
+		"too long":       header(wire.MaxFrame+1, byte(wire.KindPing)),
+		"unknown kind":   append(header(1, 200), 0xc0),
+		"kind zero":      append(header(1, 0), 0xc0),
+		"not msgpack":    append(header(3, byte(wire.KindPing)), 0xc1, 0xc1, 0xc1),
+		"trailing bytes": append(header(3, byte(wire.KindCancel)), 0x90, 0xc0, 0xc0),
 	} {
 		_, err := wire.NewReader(bytes.NewReader(bad)).Next()
 		assert.ErrorContains(t, err, "wire.frame", name)
 	}
 }
 
-// Story: somebody connects and claims a frame of 4 MB, again and again, but
-// sends nothing more. The reader must not take that memory on their word.
-func TestFalseLengthTakesNoMemory(t *testing.T) {
+// TestFalseLengthDoesNotAllocate: peers that announce frames of 4 MB and send
+// nothing more must not make the reader allocate that memory.
+func TestFalseLengthDoesNotAllocate(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range 100 {
@@ -89,9 +89,9 @@
 	assert.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(100*256<<10))
 }
 
-// Story: a peer stops reading while this side keeps sending. Memory stays
-// bounded: the connection is given up.
-func TestSlowPeerIsGivenUp(t *testing.T) {
+// TestSlowPeerIsDisconnected: the send queue of a peer that has stopped reading
+// would grow without bound; the connection must be closed instead.
+func TestSlowPeerIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		defer far.Close()
@@ -109,7 +109,7 @@
 }
 
 func FuzzReader(f *testing.F) {
-	for _, m := range samples() {
+	for _, m := range sampleMessages() {
 		frame, _ := wire.AppendFrame(nil, m)
 		f.Add(frame)
 	}
@@ -160,11 +160,11 @@
 	b.ReportMetric(float64(len(pong)), "pong-bytes")
 }
 
-// TestSlowFrameIsNoSilence: an agent on a link of 10 Mbit/s never gets a document
-// of 1 MB. The frame takes longer than a connection may be silent, so the entry
-// replaces the connection and sends the document again from its first byte. The
-// bytes of a frame count as signs of life, not only its end.
-func TestSlowFrameIsNoSilence(t *testing.T) {
+// TestPartialFrameCountsAsActivity: on a link of 10 Mbit/s a document of 1 MB
+// takes longer than the idle timeout. If only complete frames counted as
+// activity, the entry would replace the connection and send the document again
+// from its first byte, so that it would never arrive.
+func TestPartialFrameCountsAsActivity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		c := wire.NewConn(near)
