--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -36,8 +36,8 @@
 	return n, err
 }
 
-// answer is the least agent: it greets and answers heartbeats.
-func answer(ctx context.Context, nc net.Conn, name string) {
+// serveAgent is a minimal agent: it answers Hello and heartbeats.
+func serveAgent(ctx context.Context, nc net.Conn, name string) {
 	conn := wire.NewConn(nc)
 	_ = conn.Serve(ctx, func(m wire.Message) {
 		switch m := m.(type) {
@@ -55,9 +55,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkIdleConnections measures what standing connections cost, both ends
-// in this process: processor time, bytes and memory for each connection. The
-// time is real, because processor time is what is measured.
+// BenchmarkIdleConnections measures the processor time, bytes and memory of each
+// idle connection, with both ends in this process. It runs in real time, because
+// it measures processor time.
 func BenchmarkIdleConnections(b *testing.B) {
 	for _, n := range []int{50, 100, 200, 400} {
 		b.Run(fmt.Sprintf("connections=%d", n), func(b *testing.B) {
@@ -68,7 +68,7 @@
 	}
 }
 
-const measured = 4 * time.Second
+const measureTime = 4 * time.Second
 
 func measureIdle(b *testing.B, n int) {
 	ctx, cancel := context.WithCancel(b.Context())
@@ -86,7 +86,7 @@
 			nc, err := ln.Accept()
 			_ = ln.Close()
 			if err == nil {
-				answer(ctx, nc, name)
+				serveAgent(ctx, nc, name)
 			}
 		}()
 	}
@@ -96,15 +96,15 @@
 		return countingConn{nc, &bytes}, err
 	}
 	m := peer.NewManager(peer.Self{Name: "bench", Incarnation: wire.NewID()}, new(config.Store), membership.NewView(), event.Nop(), dial)
-	m.Use(ctx, doc)
+	m.Apply(ctx, doc)
 	time.Sleep(time.Second)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	cpu, sent := cpuTime(), bytes.Load()
-	time.Sleep(measured)
-	per := float64(n) * measured.Seconds()
-	b.ReportMetric(float64((cpuTime()-cpu).Microseconds())/per, "cpu-µs/conn/s")
-	b.ReportMetric(float64(bytes.Load()-sent)/per, "bytes/conn/s")
+	time.Sleep(measureTime)
+	connSeconds := float64(n) * measureTime.Seconds()
+	b.ReportMetric(float64((cpuTime()-cpu).Microseconds())/connSeconds, "cpu-µs/conn/s")
+	b.ReportMetric(float64(bytes.Load()-sent)/connSeconds, "bytes/conn/s")
 	b.ReportMetric(float64(after.HeapAlloc+after.StackInuse-before.HeapAlloc-before.StackInuse)/float64(n), "heap-bytes/conn")
 	cancel()
 	m.Wait()
--- a/peer/fetch.go
+++ b/peer/fetch.go
@@ -9,18 +9,18 @@
 	"ebonypulley/wire"
 )
 
-// ErrNoConfig is returned by Fetch from an agent that has no document.
+// ErrNoConfig is returned by Fetch if the agent sent no configuration document.
 var ErrNoConfig = peerErrors.NewType("no_config")
 
-// Fetch asks an agent for the configuration document in force there. It is
-// how an entry that starts while the configuration service is down learns
-// which endpoints exist.
+// Fetch returns the current configuration document of an agent. An entry that
+// starts while the configuration service is down learns from it which endpoints
+// exist.
 func Fetch(ctx context.Context, self Self, dial ebonypulley.Dialer, addr string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
 	nc, err := dial.OrTCP()(ctx, "tcp", addr)
 	if err != nil {
-		return nil, ErrDown.Wrap(err, "fetch from %s", addr)
+		return nil, ErrNotConnected.Wrap(err, "fetch from %s", addr)
 	}
 	conn := wire.NewConn(nc)
 	_ = conn.Send(&wire.Hello{
@@ -28,8 +28,8 @@
 		Role:       "entry",
 		Name:       self.Name,
 		DataCentre: self.DataCentre,
-		// An incarnation of its own: this connection is not one of those
-		// that carry the entry's attempts.
+		// Not the entry's own incarnation, because this connection carries none
+		// of the entry's attempts.
 		Incarnation: wire.NewID(),
 	})
 	_ = conn.Send(&wire.ConfigWanted{})
@@ -41,7 +41,7 @@
 		}
 	})
 	if text == nil {
-		return nil, ErrNoConfig.Wrap(errorx.Decorate(err, "no document came"), "fetch from %s", addr)
+		return nil, ErrNoConfig.Wrap(errorx.Decorate(err, "no document received"), "fetch from %s", addr)
 	}
 	return text, nil
 }
--- a/peer/manager.go
+++ b/peer/manager.go
@@ -11,30 +11,33 @@
 	"ebonypulley/membership"
 )
 
-// Manager keeps a Peer for each declared endpoint.
+// Manager keeps a Peer for each endpoint that the configuration declares.
 type Manager struct {
 	self  Self
 	store *config.Store
 	view  *membership.View
 	log   *event.Log
 	dial  ebonypulley.Dialer
-	// Freed, if set, is told the time from each Cancel to its
-	// acknowledgement: until then the endpoint may hold memory.
+	// Freed, if set, is called with the time from each Cancel to its
+	// acknowledgement; until then the endpoint may hold memory for the attempt.
+	// It must be set before Run.
 	Freed func(time.Duration)
 
-	// ask is shared by all peers: one of them is asked for a document at a time.
+	// ask is shared by all peers, so that only one of them at a time is asked
+	// for a newer document.
 	ask   config.Ask
 	mu    sync.Mutex
 	wg    sync.WaitGroup
 	peers map[string]*Peer
 }
 
-// NewManager returns a manager without peers; dial may be nil for TCP.
+// NewManager returns a Manager without peers. A nil dial means TCP.
 func NewManager(self Self, store *config.Store, view *membership.View, log *event.Log, dial ebonypulley.Dialer) *Manager {
 	return &Manager{self: self, store: store, view: view, log: log, dial: dial.OrTCP(), peers: make(map[string]*Peer)}
 }
 
-// Run follows the document until ctx ends.
+// Run applies each new configuration document until ctx ends. It returns when
+// all connections are closed.
 func (m *Manager) Run(ctx context.Context) error {
 	changed := m.store.Watch()
 	defer m.Wait()
@@ -43,18 +46,19 @@
 		case <-ctx.Done():
 			return nil
 		case <-changed:
-			m.Use(ctx, m.store.Current().Document)
+			m.Apply(ctx, m.store.Current().Document)
 		}
 	}
 }
 
-// Wait blocks until the connections of an ended Run are closed.
+// Wait blocks until the connections of all peers are closed.
 func (m *Manager) Wait() { m.wg.Wait() }
 
-// Use starts peers for new endpoints. The connection to a removed one
-// stays while attempts use it, so that work in progress ends whole; its agent
-// learns of the removal on this very connection.
-func (m *Manager) Use(ctx context.Context, doc *config.Document) {
+// Apply starts peers for new endpoints and replaces the peer of an endpoint
+// whose agent has a new address. The connection to a removed endpoint stays
+// while attempts use it, so that work in progress can complete, and because its
+// agent gets the document that removes it on this connection.
+func (m *Manager) Apply(ctx context.Context, doc *config.Document) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, e := range doc.Endpoints {
@@ -76,16 +80,16 @@
 	m.wg.Go(func() { p.run(ctx) })
 }
 
-// removedKeep is how long the agent of a removed endpoint is sought, to tell
-// it so.
-const removedKeep = 10 * time.Minute
+// removedPeerTTL is how long the agent of a removed endpoint is dialled, to send
+// it the document that removes it.
+const removedPeerTTL = 10 * time.Minute
 
 // Tick stops the peers of removed endpoints that no attempt uses any more and
-// whose agents know the document that removed them.
+// whose agents have the document that removed them.
 //
-// An endpoint is removed while its agent is cut off.
-// It shows as an agent that serves entries with an old view after the
-// partition. The guard holds because it is dialled until it has the document.
+// An agent that was partitioned when its endpoint was removed is dialled until
+// it has that document or removedPeerTTL has passed. Otherwise it would serve
+// entries with an old document after the partition.
 func (m *Manager) Tick(now time.Time) {
 	cur := m.store.Current()
 	if cur == nil {
@@ -95,30 +99,32 @@
 	defer m.mu.Unlock()
 	for name, p := range m.peers {
 		declared := cur.Document.Endpoint(name) != nil
-		if p.over(now, declared, m.store.Version()) {
+		if p.finished(now, declared, m.store.Version()) {
 			p.stop()
 			delete(m.peers, name)
 		}
 	}
 }
 
-// over reports whether the connection has served its purpose.
-func (p *Peer) over(now time.Time, declared bool, current config.Version) bool {
+// finished reports whether the peer can be stopped: its endpoint is not declared
+// any more, no attempt uses it, and its agent has the current document or can't
+// be given it within removedPeerTTL.
+func (p *Peer) finished(now time.Time, declared bool, current config.Version) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if declared {
-		p.removed = time.Time{}
+		p.removedAt = time.Time{}
 		return false
 	}
-	if p.removed.IsZero() {
-		p.removed = now
+	if p.removedAt.IsZero() {
+		p.removedAt = now
 	}
-	told := !current.Newer(p.theirs) || now.Sub(p.removed) > removedKeep
+	informed := !current.Newer(p.agentConfig) || now.Sub(p.removedAt) > removedPeerTTL
 	unused := len(p.streams) == 0 && (len(p.cancels) == 0 || p.conn == nil)
-	return told && unused
+	return informed && unused
 }
 
-// Peer returns the peer of an endpoint, or nil.
+// Peer returns the peer of an endpoint, or nil if there is none.
 func (m *Manager) Peer(endpoint string) *Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -15,31 +15,33 @@
 	"ebonypulley/wire"
 )
 
-// Timing of connections.
+// Limits of connections and of the messages repeated on them.
 const (
-	// Heartbeat is the time between two pings.
-	Heartbeat = 500 * time.Millisecond
-	// Silence is after how long without any frame a connection is replaced.
-	Silence = 1500 * time.Millisecond
-	// DialTimeout bounds a connection attempt.
+	// HeartbeatInterval is the time between two pings.
+	HeartbeatInterval = 500 * time.Millisecond
+	// IdleTimeout is the time without a received byte after which a connection
+	// is replaced.
+	IdleTimeout = 1500 * time.Millisecond
+	// DialTimeout bounds a connection attempt, and Fetch as a whole.
 	DialTimeout = time.Second
-	minBackoff  = 50 * time.Millisecond
-	maxBackoff  = time.Second
-	// cancelLife ends the repetition of a Cancel: by then every lease that
+	// minBackoff and maxBackoff bound the delay between connection attempts.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = time.Second
+	// cancelTTL is how long a Cancel is repeated: after that, every lease that
 	// this process does not renew has expired.
-	cancelLife = time.Minute
-	// cancelMax bounds the cancels waiting for one agent.
-	cancelMax = 10_000
+	cancelTTL = time.Minute
+	// maxCancels bounds the unacknowledged Cancels to one agent.
+	maxCancels = 10_000
 )
 
-// Self is how this process introduces itself.
+// Self is what this process states about itself in Hello.
 type Self struct {
 	Name        string
 	DataCentre  string
 	Incarnation wire.Incarnation
 }
 
-// Peer is one agent as seen from here.
+// Peer is the connection to one agent, with the state that the agent reported.
 type Peer struct {
 	endpoint config.Endpoint
 	self     Self
@@ -49,20 +51,20 @@
 	log      *event.Log
 	dial     ebonypulley.Dialer
 	stop     context.CancelFunc
-	freed    func(time.Duration)
-	// connections counts those made; used by run only.
-	connections uint64
+	onFreed  func(time.Duration)
+	// dialled counts the connections made; only run uses it.
+	dialled uint64
 
-	mu      sync.Mutex
-	conn    *wire.Conn
-	inc     wire.Incarnation
-	role    string
-	load    wire.Load
-	begun   int // attempts opened since load was reported
-	streams map[wire.ID]*Stream
-	cancels map[wire.ID]time.Time
-	theirs  config.Version // document that the agent last said to have
-	removed time.Time      // since when no document declares the endpoint
+	mu          sync.Mutex
+	conn        *wire.Conn
+	incarnation wire.Incarnation
+	role        string
+	load        wire.Load
+	opened      int // number of attempts opened since load was reported
+	streams     map[wire.ID]*Stream
+	cancels     map[wire.ID]time.Time
+	agentConfig config.Version // version of the agent's document, as last reported
+	removedAt   time.Time      // when the endpoint was found not to be declared; zero while it is
 }
 
 func newPeer(e config.Endpoint, m *Manager) *Peer {
@@ -74,13 +76,13 @@
 		view:     m.view,
 		log:      m.log.With(zap.String("endpoint", e.Name)),
 		dial:     m.dial,
-		freed:    m.Freed,
+		onFreed:  m.Freed,
 		streams:  make(map[wire.ID]*Stream),
 		cancels:  make(map[wire.ID]time.Time),
 	}
 }
 
-// Endpoint returns the declared endpoint.
+// Endpoint returns the endpoint as the configuration declares it.
 func (p *Peer) Endpoint() config.Endpoint { return p.endpoint }
 
 // Status is a snapshot of a Peer.
@@ -88,38 +90,40 @@
 	Connected   bool
 	Incarnation wire.Incarnation
 	Load        wire.Load
-	// Begun counts own attempts opened since Load was reported.
-	Begun   int
+	// Begun counts the attempts that this process opened since Load was
+	// reported.
+	Begun int
+	// Streams counts the open attempts, Cancels the unacknowledged Cancels.
 	Streams int
 	Cancels int
 }
 
-// Status returns what is known of the agent.
+// Status returns a snapshot of the peer.
 func (p *Peer) Status() Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Status{
 		Connected:   p.conn != nil,
-		Incarnation: p.inc,
+		Incarnation: p.incarnation,
 		Load:        p.load,
-		Begun:       p.begun,
+		Begun:       p.opened,
 		Streams:     len(p.streams),
 		Cancels:     len(p.cancels),
 	}
 }
 
-// Open begins the exchange of an attempt. It fails with ErrDown without a
-// connection. The incarnation is that of the connected agent.
+// Open starts the exchange of an attempt and returns it with the incarnation of
+// the connected agent. It returns ErrNotConnected if there is no connection.
 func (p *Peer) Open(id wire.ID) (*Stream, wire.Incarnation, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn == nil {
-		return nil, wire.Incarnation{}, ErrDown.New("no connection to %s", p.endpoint.Name)
+		return nil, wire.Incarnation{}, ErrNotConnected.New("no connection to %s", p.endpoint.Name)
 	}
 	s := &Stream{id: id, peer: p, notify: make(chan struct{}, 1)}
 	p.streams[id] = s
-	p.begun++
-	return s, p.inc, nil
+	p.opened++
+	return s, p.incarnation, nil
 }
 
 func (p *Peer) closeStream(id wire.ID, cancel bool) {
@@ -129,7 +133,7 @@
 	if !cancel {
 		return
 	}
-	if len(p.cancels) < cancelMax {
+	if len(p.cancels) < maxCancels {
 		p.cancels[id] = time.Now()
 	}
 	if p.conn != nil {
@@ -142,12 +146,12 @@
 	conn := p.conn
 	p.mu.Unlock()
 	if conn == nil {
-		return ErrDown.New("no connection to %s", p.endpoint.Name)
+		return ErrNotConnected.New("no connection to %s", p.endpoint.Name)
 	}
 	return conn.Send(m)
 }
 
-// run keeps a connection until ctx ends.
+// run connects, and reconnects with backoff, until ctx ends.
 func (p *Peer) run(ctx context.Context) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
@@ -165,7 +169,7 @@
 	}
 }
 
-// connect dials, greets and serves one connection to its end.
+// connect makes one connection and serves it until it ends.
 func (p *Peer) connect(ctx context.Context) error {
 	dialCtx, cancel := context.WithTimeout(ctx, DialTimeout)
 	nc, err := p.dial(dialCtx, "tcp", p.endpoint.Agent)
@@ -176,8 +180,8 @@
 	conn := wire.NewConn(nc)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	go p.beat(ctx, conn)
-	p.connections++
+	go p.sendHeartbeats(ctx, conn)
+	p.dialled++
 	v := p.store.Version()
 	_ = conn.Send(&wire.Hello{
 		Version:     wire.Version,
@@ -185,24 +189,24 @@
 		Name:        p.self.Name,
 		DataCentre:  p.self.DataCentre,
 		Incarnation: p.self.Incarnation,
-		Connection:  p.connections,
+		Connection:  p.dialled,
 		Generation:  v.Generation,
 		Digest:      v.Digest,
 	})
 	err = conn.Serve(ctx, func(m wire.Message) { p.handle(conn, m) })
-	p.linkDown(conn)
+	p.handleDisconnect(conn)
 	return err
 }
 
-// beat sends heartbeats and ends the connection when nothing comes back.
+// sendHeartbeats sends pings and closes the connection when nothing has been
+// received for IdleTimeout.
 //
-// Something between the two ends forgets the
-// connection, so that it stays open and silent for good. It shows as answers
-// that stop in the middle. The guard holds because the agent answers every
-// ping on the same connection, and a fresh connection is dialled, on which
-// the attempts resume; the endpoint is not blamed.
-func (p *Peer) beat(ctx context.Context, conn *wire.Conn) {
-	tick := time.NewTicker(Heartbeat)
+// A middlebox that drops its state of a connection leaves it open and silent for
+// good, and answers would stop midway. A healthy agent answers every ping on the
+// same connection, so that silence means that the connection is dead. Attempts
+// resume on the next connection, and the endpoint does not count as failed.
+func (p *Peer) sendHeartbeats(ctx context.Context, conn *wire.Conn) {
+	tick := time.NewTicker(HeartbeatInterval)
 	defer tick.Stop()
 	for seq := uint64(1); ; seq++ {
 		select {
@@ -211,8 +215,8 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		if quiet := conn.Silence(now); quiet > Silence {
-			p.log.Emit(event.LinkSilent, zap.Duration("silence", quiet))
+		if idle := conn.Silence(now); idle > IdleTimeout {
+			p.log.Emit(event.LinkSilent, zap.Duration("silence", idle))
 			conn.Close()
 			return
 		}
@@ -222,14 +226,15 @@
 	}
 }
 
-// cancelled records how long the agent took to free an attempt.
-func (p *Peer) cancelled(id wire.ID) {
+// handleCancelled removes the Cancel that the agent acknowledged and reports how
+// long that took.
+func (p *Peer) handleCancelled(id wire.ID) {
 	p.mu.Lock()
 	since, ok := p.cancels[id]
 	delete(p.cancels, id)
 	p.mu.Unlock()
-	if ok && p.freed != nil {
-		p.freed(time.Since(since))
+	if ok && p.onFreed != nil {
+		p.onFreed(time.Since(since))
 	}
 }
 
@@ -237,7 +242,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, since := range p.cancels {
-		if now.Sub(since) > cancelLife {
+		if now.Sub(since) > cancelTTL {
 			delete(p.cancels, id)
 			continue
 		}
@@ -248,25 +253,26 @@
 func (p *Peer) handle(conn *wire.Conn, m wire.Message) {
 	switch m := m.(type) {
 	case *wire.Hello:
-		p.hello(conn, m)
+		p.handleHello(conn, m)
 	case *wire.Pong:
-		p.report(m.Load)
+		p.updateLoad(m.Load)
 		p.syncConfig(conn, config.Version{Generation: m.Generation, Digest: m.Digest})
 	case *wire.ConfigWanted:
 		if cur := p.store.Current(); cur != nil {
 			_ = conn.Send(&wire.Config{Text: cur.Text})
 		}
 	case *wire.Config:
-		p.offer(conn, m.Text)
+		p.handleConfig(conn, m.Text)
 	case *wire.Cancelled:
-		p.cancelled(m.ID)
+		p.handleCancelled(m.ID)
 	case wire.Attempted:
 		p.deliver(conn, m)
 	}
 }
 
-// hello makes the connection usable and tells all attempts that it stands.
-func (p *Peer) hello(conn *wire.Conn, m *wire.Hello) {
+// handleHello makes the connection usable and notifies all attempts that it is
+// up.
+func (p *Peer) handleHello(conn *wire.Conn, m *wire.Hello) {
 	if m.Version != wire.Version || m.Name != p.endpoint.Name {
 		p.log.Emit(event.PeerRefused, zap.String("name", m.Name), zap.Int("version", m.Version))
 		conn.Close()
@@ -274,20 +280,21 @@
 	}
 	p.mu.Lock()
 	p.conn = conn
-	p.inc = m.Incarnation
+	p.incarnation = m.Incarnation
 	p.role = m.Role
-	p.begun = 0
-	streams := p.openStreams()
+	p.opened = 0
+	streams := p.streamsLocked()
 	p.mu.Unlock()
 	p.view.Hear(p.endpoint.Name, membership.Word{Incarnation: m.Incarnation})
 	p.log.Emit(event.LinkUp, zap.Stringer("incarnation", m.Incarnation))
 	for _, s := range streams {
-		_ = s.push(Event{Link: &Link{Up: true, Incarnation: m.Incarnation}})
+		_ = s.push(Event{Link: &LinkState{Up: true, Incarnation: m.Incarnation}})
 	}
 	p.syncConfig(conn, config.Version{Generation: m.Generation, Digest: m.Digest})
 }
 
-func (p *Peer) openStreams() []*Stream {
+// streamsLocked returns the open streams. The caller holds p.mu.
+func (p *Peer) streamsLocked() []*Stream {
 	list := make([]*Stream, 0, len(p.streams))
 	for _, s := range p.streams {
 		list = append(list, s)
@@ -295,7 +302,8 @@
 	return list
 }
 
-func (p *Peer) linkDown(conn *wire.Conn) {
+// handleDisconnect notifies all attempts that conn was lost, if it was in use.
+func (p *Peer) handleDisconnect(conn *wire.Conn) {
 	p.ask.Lost(conn)
 	p.mu.Lock()
 	if p.conn != conn {
@@ -303,16 +311,18 @@
 		return
 	}
 	p.conn = nil
-	streams := p.openStreams()
+	streams := p.streamsLocked()
 	p.mu.Unlock()
 	for _, s := range streams {
-		_ = s.push(Event{Link: &Link{}})
+		_ = s.push(Event{Link: &LinkState{}})
 	}
 }
 
+// deliver passes a message to the stream of its attempt. It closes the
+// connection to an agent that sends more than the window allows.
 func (p *Peer) deliver(conn *wire.Conn, m wire.Attempted) {
-	if load, ok := loadOf(m); ok {
-		p.report(load)
+	if load, ok := reportedLoad(m); ok {
+		p.updateLoad(load)
 	}
 	p.mu.Lock()
 	s := p.streams[m.Attempt()]
@@ -326,7 +336,8 @@
 	}
 }
 
-func loadOf(m wire.Message) (wire.Load, bool) {
+// reportedLoad returns the load that a reply carries, if it carries one.
+func reportedLoad(m wire.Message) (wire.Load, bool) {
 	switch m := m.(type) {
 	case *wire.Granted:
 		return m.Load, true
@@ -345,29 +356,31 @@
 	}
 }
 
-func (p *Peer) report(l wire.Load) {
+// updateLoad records a load report, and whether the endpoint drains.
+func (p *Peer) updateLoad(l wire.Load) {
 	p.mu.Lock()
 	p.load = l
-	p.begun = 0
-	word := membership.Word{Incarnation: p.inc, Draining: l.Draining}
+	p.opened = 0
+	word := membership.Word{Incarnation: p.incarnation, Draining: l.Draining}
 	p.mu.Unlock()
 	if p.view.Hear(p.endpoint.Name, word) && l.Draining {
 		p.log.Emit(event.PeerDraining)
 	}
 }
 
-// syncConfig asks an agent that has a newer document for it; one with an older
-// document asks for this entry's on the next ping.
+// syncConfig requests the document of an agent that has a newer one. An agent
+// with an older one requests this entry's after the next ping.
 func (p *Peer) syncConfig(conn *wire.Conn, theirs config.Version) {
 	p.mu.Lock()
-	p.theirs = theirs
+	p.agentConfig = theirs
 	p.mu.Unlock()
 	if theirs.Newer(p.store.Version()) && p.ask.Begin(time.Now(), conn, theirs) {
 		_ = conn.Send(&wire.ConfigWanted{})
 	}
 }
 
-func (p *Peer) offer(conn *wire.Conn, text []byte) {
+// handleConfig offers the document that the agent sent to the store.
+func (p *Peer) handleConfig(conn *wire.Conn, text []byte) {
 	verdict, findings := p.store.Offer("peer "+p.endpoint.Name, text)
 	p.ask.Came(conn, verdict)
 	config.LogVerdict(p.log, verdict, p.store.Generation(), findings)
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -1,6 +1,6 @@
-// Package peer keeps one connection from this process to each agent it uses:
-// it dials, greets, sends heartbeats, replaces silent connections and routes
-// the replies to the attempts that wait for them.
+// Package peer maintains one connection from an entry to each agent that it
+// uses. It dials, exchanges Hello messages, sends heartbeats, replaces silent
+// connections and routes replies to the attempts that wait for them.
 package peer
 
 import (
@@ -14,31 +14,33 @@
 
 var (
 	peerErrors = errorx.NewNamespace("peer")
-	// ErrDown is returned when no connection stands.
-	ErrDown = peerErrors.NewType("down")
-	// ErrOverflow is returned when an agent sends beyond the window.
+	// ErrNotConnected is returned while there is no connection to the agent.
+	ErrNotConnected = peerErrors.NewType("down")
+	// ErrOverflow is returned when an agent sends more than the window allows.
 	ErrOverflow = peerErrors.NewType("overflow")
 )
 
-// Window is the number of tokens that an agent may send before an Ack.
+// Window is the flow control window: the number of tokens that an agent may
+// send before an Ack.
 const Window = 256
 
-// mailboxMax bounds the messages that wait for one attempt: a full window,
-// once more after a resume, and the replies beside the tokens.
-const mailboxMax = 2*Window + 64
+// maxQueuedEvents bounds the events queued for one attempt: a full window, the
+// same window again after a resume, and 64 messages that carry no tokens.
+const maxQueuedEvents = 2*Window + 64
 
-// Link tells an attempt that its connection changed.
-type Link struct {
-	// Up: a connection stands again; the last request must be repeated.
+// LinkState reports that the connection to an agent was lost or is up again.
+type LinkState struct {
+	// Up is set if the connection is up again. The attempt's last request must
+	// then be repeated.
 	Up bool
-	// Incarnation is that of the agent now connected.
+	// Incarnation is that of the agent now connected, if Up.
 	Incarnation wire.Incarnation
 }
 
-// Event is what a Stream receives: a message or a change of the connection.
+// Event is a message that a Stream received, or a change of its connection.
 type Event struct {
 	Message wire.Message
-	Link    *Link
+	Link    *LinkState
 }
 
 // Stream is the exchange of one attempt with one agent.
@@ -50,11 +52,11 @@
 	notify chan struct{}
 }
 
-// Send sends a message of this attempt; ErrDown means that it was not sent
-// and that a Link event will follow when the connection stands again.
+// Send sends a message of this attempt. ErrNotConnected means that it was not
+// sent; a Link event follows when the connection is up again.
 func (s *Stream) Send(m wire.Message) error { return s.peer.send(m) }
 
-// Recv returns the next event.
+// Recv waits for the next event. When ctx ends, it returns the cause.
 func (s *Stream) Recv(ctx context.Context) (Event, error) {
 	for {
 		if e, ok := s.pop(); ok {
@@ -82,9 +84,9 @@
 
 func (s *Stream) push(e Event) error {
 	s.mu.Lock()
-	if len(s.queue) >= mailboxMax {
+	if len(s.queue) >= maxQueuedEvents {
 		s.mu.Unlock()
-		return ErrOverflow.New("attempt %s: %d messages wait", s.id, mailboxMax)
+		return ErrOverflow.New("attempt %s: %d events are queued", s.id, maxQueuedEvents)
 	}
 	s.queue = append(s.queue, e)
 	s.mu.Unlock()
@@ -95,11 +97,12 @@
 	return nil
 }
 
-// Close ends the exchange. With cancel the agent is told, again and again
-// until it acknowledges, to free what it holds for the attempt.
+// Close ends the exchange. With cancel set, a Cancel is sent to the agent, and
+// repeated until the agent acknowledges it, to free what it holds for the
+// attempt.
 func (s *Stream) Close(cancel bool) { s.peer.closeStream(s.id, cancel) }
 
-// Peer returns the agent's connection.
+// Peer returns the peer that the exchange is with.
 func (s *Stream) Peer() *Peer { return s.peer }
 
 // ID returns the attempt's ID.
