--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -10,62 +10,64 @@
 	"time"
 )
 
-// Request is one request as it is sent.
+// Request is an HTTP request.
 type Request struct {
 	Method string
-	// URI is the path with its query, sent as it is.
+	// URI is the request target, path and query, and is sent unchanged.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a new connection: for a request that must not be lost to
-	// an endpoint that closes an idle connection at the same moment.
+	// Fresh asks for a new connection: for a request that must not be lost
+	// because the endpoint closes an idle connection while it is sent.
 	Fresh bool
-	// Matches reports whether an answer belongs to this request, by its
-	// header. Nil takes any. First is set for the first answer on a new
+	// Matches reports whether an answer with header h belongs to this request;
+	// nil accepts any answer. first is set for the first answer on a new
 	// connection.
 	Matches func(h http.Header, first bool) bool
-	// Connected, if set, is called once the connection stands, before anything
-	// is sent.
+	// Connected, if set, is called when there is a connection, before anything
+	// is sent on it.
 	Connected func()
 }
 
-// maxStale is the number of answers to earlier requests that are skipped on
-// one connection, and maxStaleBytes the size of each.
+// maxStaleAnswers is the number of answers to earlier requests that are skipped
+// before the answer to a request, and maxStaleBody the number of bytes of each
+// that are discarded.
 const (
-	maxStale      = 2
-	maxStaleBytes = 64 << 10
+	maxStaleAnswers = 2
+	maxStaleBody    = 64 << 10
 )
 
-// Response is an answer whose body is read by the caller, who must end it
-// with Done.
+// Response is an answer. The caller reads its body with Read and must call Done.
 type Response struct {
-	Status int
-	Header http.Header
-	body   io.Reader
-	pool   *Pool
-	target Target
-	conn   *conn
-	stop   func() bool
-	// halves counts the sides that are done with the connection: the request
-	// is written, the answer is read. The second keeps the connection.
-	halves atomic.Int32
-	whole  bool
-	keep   bool
+	Status  int
+	Header  http.Header
+	body    io.Reader
+	pool    *Pool
+	target  Target
+	conn    *conn
+	unwatch func() bool // detaches the connection from the request's context
+	// sidesDone counts the sides that are done with the connection: the writer
+	// of the request and the reader of the answer. The last one returns the
+	// connection to the pool.
+	sidesDone atomic.Int32
+	complete  bool // the body was read to its end
+	reusable  bool // the connection may carry another request
 }
 
 const (
-	// inlineBody is the size in bytes up to which a body is written before
-	// the answer is read: with its header it fits into what any endpoint's
-	// receive window takes, so that the write can't block.
-	inlineBody = 2 << 10
-	// restTimeout is how long the rest of a request may still take when its
-	// answer is whole; then the connection is closed.
-	restTimeout = 100 * time.Millisecond
+	// maxInlineBody is the size in bytes up to which a body is written before
+	// the answer is read. Together with the header it fits into any endpoint's
+	// receive window, so that the write can't block.
+	maxInlineBody = 2 << 10
+	// requestTailTimeout bounds the writing of the rest of a request after its
+	// complete answer; then the connection is closed.
+	requestTailTimeout = 100 * time.Millisecond
 )
 
-// Do sends a request and returns once the head of its answer is here. The
-// connection ends with ctx. Errors are ErrConnect and ErrLost.
+// Do sends a request and returns when the header of its answer has arrived. The
+// connection is closed if ctx ends before Done. Errors are ErrConnect and
+// ErrLost.
 func (p *Pool) Do(ctx context.Context, t Target, req *Request) (*Response, error) {
 	c, err := p.get(ctx, t, req.Fresh)
 	if err != nil {
@@ -75,18 +77,18 @@
 		req.Connected()
 	}
 	r := &Response{pool: p, target: t, conn: c}
-	r.stop = context.AfterFunc(ctx, func() { _ = c.nc.Close() })
-	hr := req.http(t)
-	if len(req.Body) <= inlineBody {
+	r.unwatch = context.AfterFunc(ctx, func() { _ = c.nc.Close() })
+	hr := req.httpRequest(t)
+	if len(req.Body) <= maxInlineBody {
 		r.write(hr)
 	} else {
 		go r.write(hr)
 	}
 	if err := r.readHead(hr, req.Matches); err != nil {
 		if !c.reused && ctx.Err() == nil {
-			p.noteBroken(t)
+			p.recordBroken(t)
 		}
-		r.abandon()
+		r.abort()
 		if ctx.Err() != nil {
 			err = ctx.Err()
 		}
@@ -95,7 +97,7 @@
 	return r, nil
 }
 
-func (req *Request) http(t Target) *http.Request {
+func (req *Request) httpRequest(t Target) *http.Request {
 	hr := &http.Request{
 		Method: req.Method,
 		URL:    &url.URL{Scheme: "http", Host: t.Addr, Opaque: req.URI},
@@ -109,32 +111,33 @@
 	return hr
 }
 
-// write sends the request. A long body is written beside the reading side,
-// because an endpoint may answer before it has read it.
+// write sends the request. A long body is written while the answer is read,
+// because an endpoint may answer before it has read the body.
 func (r *Response) write(hr *http.Request) {
 	err := hr.Write(r.conn.bw)
 	if err == nil {
 		err = r.conn.bw.Flush()
 	}
 	if err != nil {
-		_ = r.conn.nc.Close() // the reading side sees how the connection ended
+		_ = r.conn.nc.Close() // the read then fails and reports the error
 		return
 	}
-	r.half()
+	r.sideDone()
 }
 
-// half marks one side as done and keeps the connection after the second.
+// sideDone marks one side as done; the second one returns the connection to the
+// pool.
 //
-// The answer is whole before the writing goroutine
-// has run again to note that the request is. It shows as a new connection for
-// each request while the machine is busy.
-func (r *Response) half() {
-	if r.halves.Add(1) == 2 {
+// On a busy machine the complete answer can be read before the writing goroutine
+// has run again after its write. If the reader alone decided, the request would
+// seem unfinished and each request would need a new connection.
+func (r *Response) sideDone() {
+	if r.sidesDone.Add(1) == 2 {
 		r.pool.put(r.target, r.conn)
 	}
 }
 
-// readHead reads answers until one matches.
+// readHead reads the header of an answer and skips answers that don't match.
 func (r *Response) readHead(hr *http.Request, matches func(http.Header, bool) bool) error {
 	first := !r.conn.reused
 	for stale := 0; ; {
@@ -146,11 +149,11 @@
 			continue
 		}
 		if matches != nil && !matches(resp.Header, first) {
-			if stale++; stale > maxStale {
-				return ErrLost.New("%d answers belong to other requests", stale)
+			if stale++; stale > maxStaleAnswers {
+				return ErrLost.New("%d answers to other requests on the connection", stale)
 			}
 			first = false
-			if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStaleBytes)); err != nil {
+			if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStaleBody)); err != nil {
 				return err
 			}
 			continue
@@ -158,39 +161,39 @@
 		r.Status = resp.StatusCode
 		r.Header = resp.Header
 		r.body = resp.Body
-		r.keep = !resp.Close && stale == 0
-		if d := announcedIdle(resp.Header); d > 0 {
-			r.conn.idleFor = d
+		r.reusable = !resp.Close && stale == 0
+		if d := keepAliveTimeout(resp.Header); d > 0 {
+			r.conn.idleTimeout = d
 		}
 		return nil
 	}
 }
 
-// Read reads the body. It returns io.EOF only at its whole end; a connection
-// that is reset or ends early gives another error.
+// Read reads the body. It returns io.EOF only at the end of the complete body;
+// if the connection is reset or ends early, the error is another one.
 func (r *Response) Read(b []byte) (int, error) {
 	n, err := r.body.Read(b)
 	if err == io.EOF {
-		r.whole = true
+		r.complete = true
 	}
 	return n, err
 }
 
-// Done ends the exchange: the connection is kept if the answer was read whole
-// and nothing follows it, and closed otherwise, which tells the endpoint to
-// stop.
+// Done ends the exchange. The connection is kept if the body was read to its end
+// and no bytes follow it. Otherwise it is closed, which makes the endpoint stop.
 func (r *Response) Done() {
-	if !r.stop() || !r.whole || !r.keep || r.conn.br.Buffered() > 0 {
+	if !r.unwatch() || !r.complete || !r.reusable || r.conn.br.Buffered() > 0 {
 		_ = r.conn.nc.Close()
 		return
 	}
-	if r.halves.Load() == 0 {
-		_ = r.conn.nc.SetWriteDeadline(time.Now().Add(restTimeout))
+	if r.sidesDone.Load() == 0 {
+		_ = r.conn.nc.SetWriteDeadline(time.Now().Add(requestTailTimeout))
 	}
-	r.half()
+	r.sideDone()
 }
 
-func (r *Response) abandon() {
-	r.stop()
+// abort closes the connection.
+func (r *Response) abort() {
+	r.unwatch()
 	_ = r.conn.nc.Close()
 }
--- a/upstream/tcp.go
+++ b/upstream/tcp.go
@@ -9,29 +9,26 @@
 )
 
 const (
-	// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall does
-	// not name.
+	// tcpUserTimeout is the TCP_USER_TIMEOUT socket option of Linux, for which
+	// package syscall has no constant.
 	tcpUserTimeout = 0x12
-	// unackedFor is how long sent bytes may stay unacknowledged.
-	//
-	// A connection goes silent, or its endpoint's VM
-	// loses power, while a request is on its way. It shows as a request that
-	// lasts until its deadline. The guard holds because the kernel ends the
-	// connection when nothing acknowledges the bytes; the time leaves room
-	// for two retransmissions over a link that loses packets.
-	unackedFor = 900 * time.Millisecond
-	// probeIdle and probeCount are the kernel's probes of a connection on
-	// which nothing comes, such as a stream between two events.
-	probeIdle  = time.Second
-	probeCount = 2
+	// unackedTimeout is how long sent bytes may stay unacknowledged before the
+	// kernel closes the connection. Without it, a request on a connection that
+	// went silent, or to a VM that lost power, would last until its deadline.
+	// The time allows for two retransmissions on a link that loses packets.
+	unackedTimeout = 900 * time.Millisecond
+	// probeInterval and probeCount are the kernel's keep-alive probes on a
+	// connection that receives nothing, such as a stream between two events.
+	probeInterval = time.Second
+	probeCount    = 2
 )
 
 var dialer = net.Dialer{
-	KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeIdle, Count: probeCount},
+	KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount},
 	Control: func(_, _ string, rc syscall.RawConn) error {
 		var err error
 		cerr := rc.Control(func(fd uintptr) {
-			err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedFor.Milliseconds()))
+			err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
 		})
 		return errors.Join(cerr, err)
 	},
@@ -41,13 +38,14 @@
 	return dialer.DialContext(ctx, network, addr)
 }
 
-// quiet reports whether an idle connection is open and nothing has come on it.
+// isIdle reports whether a connection is open and has no bytes to read. It asks
+// the kernel without blocking and is called right before a kept connection is
+// used.
 //
-// An endpoint closed an idle connection, or sent a
-// second answer after a whole one. It shows as a request that is lost, or as
-// an answer to somebody else's request. The guard holds because the kernel is
-// asked, without waiting, right before the connection is used.
-func quiet(nc net.Conn) bool {
+// An endpoint may have closed the connection, which would lose the request, or
+// have sent a second answer after a complete one, which the request would get
+// as its own.
+func isIdle(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return true
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,9 +1,9 @@
-// Package upstream keeps HTTP/1.1 connections to endpoints.
+// Package upstream is an HTTP/1.1 client with a connection pool for endpoints.
 //
-// It differs from http.Transport in what matters for calls that must not run
-// twice: it never sends a request a second time by itself, it says whether
-// anything of a request can have been read, and it recognises an answer that
-// belongs to an earlier request on the same connection.
+// It differs from http.Transport where that matters for calls that must not run
+// twice: it never retries a request by itself, its errors say whether any part
+// of a request was sent, and it recognises an answer to an earlier request on
+// the same connection.
 package upstream
 
 import (
@@ -27,78 +27,82 @@
 
 var (
 	upstreamErrors = errorx.NewNamespace("upstream")
-	// ErrConnect is returned when no connection stood, so that nothing of the
-	// request was sent.
+	// ErrConnect is returned when no connection was established, so that no part
+	// of the request was sent.
 	ErrConnect = upstreamErrors.NewType("connect")
 	// ErrLost is returned when the request was sent, at least in part, and no
-	// whole answer came. It may have run.
+	// answer to it arrived. The request may have run.
 	ErrLost = upstreamErrors.NewType("lost")
 )
 
 const (
-	// dialTimeout bounds a connection attempt. A handshake takes some
-	// milliseconds; a lost first packet is sent again after a second, which
-	// is too late for a call with a target of 300 ms.
+	// dialTimeout bounds a connection attempt. A handshake takes a few
+	// milliseconds. A lost SYN is retransmitted only after a second, which is too
+	// late for a call with a target of 300 ms.
 	dialTimeout = 400 * time.Millisecond
-	// defaultIdle is how long a connection is kept if the endpoint does not
-	// say how long it keeps its own end.
-	defaultIdle = 4 * time.Second
-	// idleMargin is taken off the idle time that an endpoint announces, so
-	// that this end closes first.
+	// defaultIdleTimeout is how long an idle connection is kept if the endpoint
+	// does not advertise its own idle timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the idle timeout that an endpoint advertises,
+	// so that this side closes first.
 	idleMargin = time.Second
-	// maxIdle bounds the kept connections to one endpoint: a burst's worth,
-	// well under what the smallest endpoint accepts from all entries.
-	maxIdle = 8
-	// brokenFor is how long after one broke new connections to an endpoint are waited on, for
-	// settleTrips times what they took to stand and settleLeast for the endpoint to act.
-	brokenFor   = 5 * time.Second
-	settleTrips = 2
-	settleLeast = 2 * time.Millisecond
-	// buffer is the size of each connection's read and write buffers in
-	// bytes; most requests and answers fit in one.
-	buffer = 4 << 10
+	// maxIdleConns bounds the idle connections to one endpoint. It is enough for
+	// a burst and well below the number of connections that the smallest endpoint
+	// accepts from all entries.
+	maxIdleConns = 8
+	// brokenTTL is the time after a new connection to an endpoint broke in which
+	// further new ones are checked for a reset before they are used. The check
+	// waits for resetWaitRTTs times the time that the connection took to establish,
+	// plus minResetWait for the endpoint to act.
+	brokenTTL     = 5 * time.Second
+	resetWaitRTTs = 2
+	minResetWait  = 2 * time.Millisecond
+	// bufferSize is the size in bytes of each connection's read buffer and of
+	// its write buffer; most requests and answers fit.
+	bufferSize = 4 << 10
 )
 
-// Target is where a request goes. Connections are kept by both fields, so
-// that an address used again by another endpoint never meets old connections.
+// Target identifies the endpoint that a request is sent to. Connections are
+// pooled by both fields, so that an endpoint that reuses the address of another
+// one never gets requests over the old connections.
 type Target struct {
-	// ID names the endpoint's incarnation.
+	// ID identifies the endpoint's incarnation.
 	ID string
-	// Addr is IP:port.
+	// Addr is the endpoint's IP:port.
 	Addr string
 }
 
-// Pool keeps idle connections. It is safe for concurrent use.
+// Pool sends requests and keeps idle connections. It is safe for concurrent use.
 type Pool struct {
 	dial ebonypulley.Dialer
 	mu   sync.Mutex
 	idle map[Target][]*conn
-	// broken is when a new connection last ended before any answer.
-	broken map[Target]time.Time
+	// brokenAt is when a new connection to a target last ended before any answer.
+	brokenAt map[Target]time.Time
 }
 
-// NewPool returns an empty pool; dial is nil for TCP.
+// NewPool returns an empty Pool. A nil dial means TCP.
 func NewPool(dial ebonypulley.Dialer) *Pool {
 	if dial == nil {
 		dial = dialTCP
 	}
-	return &Pool{dial: dial, idle: make(map[Target][]*conn), broken: make(map[Target]time.Time)}
+	return &Pool{dial: dial, idle: make(map[Target][]*conn), brokenAt: make(map[Target]time.Time)}
 }
 
-// conn is one connection; it carries one request at a time.
+// conn is a connection. It carries one request at a time.
 type conn struct {
-	nc      net.Conn
-	br      *bufio.Reader
-	bw      *bufio.Writer
-	until   time.Time // kept idle until then
-	reused  bool
-	idleFor time.Duration
+	nc          net.Conn
+	br          *bufio.Reader
+	bw          *bufio.Writer
+	idleUntil   time.Time // when the connection is closed if it stays idle
+	reused      bool      // it has carried a request before
+	idleTimeout time.Duration
 }
 
 // get returns an idle connection that is still open, or a new one.
 func (p *Pool) get(ctx context.Context, t Target, fresh bool) (*conn, error) {
 	if fresh {
-		p.makeRoom(t)
+		p.evictIdle(t)
 	} else if c := p.takeIdle(t); c != nil {
 		return c, nil
 	}
@@ -109,14 +113,16 @@
 	if err != nil {
 		return nil, ErrConnect.Wrap(err, "connect to %s", t.Addr)
 	}
-	c := &conn{nc: nc, br: bufio.NewReaderSize(nc, buffer), bw: bufio.NewWriterSize(nc, buffer), idleFor: defaultIdle}
-	if err := p.settle(t, c, time.Since(began)); err != nil {
+	c := &conn{nc: nc, br: bufio.NewReaderSize(nc, bufferSize), bw: bufio.NewWriterSize(nc, bufferSize), idleTimeout: defaultIdleTimeout}
+	if err := p.awaitReset(t, c, time.Since(began)); err != nil {
 		_ = nc.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
+// takeIdle removes the last used connection to a target that is still open from
+// the pool and returns it, or nil if there is none.
 func (p *Pool) takeIdle(t Target) *conn {
 	now := time.Now()
 	for {
@@ -127,9 +133,9 @@
 			return nil
 		}
 		c := list[len(list)-1]
-		p.setIdle(t, list[:len(list)-1])
+		p.setIdleLocked(t, list[:len(list)-1])
 		p.mu.Unlock()
-		if now.Before(c.until) && quiet(c.nc) {
+		if now.Before(c.idleUntil) && isIdle(c.nc) {
 			c.reused = true
 			return c
 		}
@@ -137,42 +143,42 @@
 	}
 }
 
-// makeRoom closes the connection to a target that is idle for longest, unless it is the only
-// one: a new connection takes its place among those that the endpoint accepts from all
-// entries.
-func (p *Pool) makeRoom(t Target) {
+// evictIdle closes the connection to a target that has been idle for longest, unless it is
+// the only one. The endpoint accepts a limited number of connections from all entries, so
+// that a new connection has to replace an idle one.
+func (p *Pool) evictIdle(t Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if list := p.idle[t]; len(list) > 1 {
 		_ = list[0].nc.Close()
-		p.setIdle(t, list[1:])
+		p.setIdleLocked(t, list[1:])
 	}
 }
 
-// settle waits on a new connection for the reset that its endpoint may send, if another one
-// broke lately: an endpoint that has as many connections as it accepts resets
-// those beyond, and of a request that was sent nobody knows whether it ran. took is how long
-// the connection took to stand.
-func (p *Pool) settle(t Target, c *conn, took time.Duration) error {
+// awaitReset checks a new connection for a reset before it is used, if another new one to
+// the target broke within brokenTTL. An endpoint at its connection limit resets further
+// connections, and it would be unknown whether a request sent on one of them ran. dialTime
+// is how long the connection took to establish.
+func (p *Pool) awaitReset(t Target, c *conn, dialTime time.Duration) error {
 	p.mu.Lock()
-	last, known := p.broken[t]
+	last, known := p.brokenAt[t]
 	p.mu.Unlock()
-	if !known || time.Since(last) > brokenFor {
+	if !known || time.Since(last) > brokenTTL {
 		return nil
 	}
-	if err := stillOpen(c, settleTrips*took+settleLeast); err != nil {
-		p.noteBroken(t)
-		return ErrConnect.Wrap(err, "%s ended the connection before anything was sent", t.Addr)
+	if err := checkOpen(c, resetWaitRTTs*dialTime+minResetWait); err != nil {
+		p.recordBroken(t)
+		return ErrConnect.Wrap(err, "%s closed the connection before anything was sent", t.Addr)
 	}
 	return nil
 }
 
-// errUnasked is returned for bytes that an endpoint sends before any request.
-var errUnasked = ErrLost.NewSubtype("unasked")
+// errUnsolicited is returned when an endpoint sends bytes before any request.
+var errUnsolicited = ErrLost.NewSubtype("unasked")
 
-// stillOpen waits on a connection on which nothing was sent, and returns how it ended if it
-// did.
-func stillOpen(c *conn, wait time.Duration) error {
+// checkOpen waits for a reset on a connection on which nothing was sent. It returns nil if
+// the connection is still open after the wait, and otherwise the error that ended it.
+func checkOpen(c *conn, wait time.Duration) error {
 	if err := c.nc.SetReadDeadline(time.Now().Add(wait)); err != nil {
 		return err
 	}
@@ -181,20 +187,20 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return c.nc.SetReadDeadline(time.Time{})
 	case err == nil:
-		return errUnasked.New("bytes came before any request")
+		return errUnsolicited.New("received bytes before any request was sent")
 	}
 	return err
 }
 
-// noteBroken notes that a new connection ended before any answer.
-func (p *Pool) noteBroken(t Target) {
+// recordBroken records that a new connection ended before any answer.
+func (p *Pool) recordBroken(t Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.broken[t] = time.Now()
+	p.brokenAt[t] = time.Now()
 }
 
-// setIdle stores the list of a target; p.mu is held.
-func (p *Pool) setIdle(t Target, list []*conn) {
+// setIdleLocked sets the idle connections of a target. The caller holds p.mu.
+func (p *Pool) setIdleLocked(t Target, list []*conn) {
 	if len(list) == 0 {
 		delete(p.idle, t)
 		return
@@ -202,34 +208,35 @@
 	p.idle[t] = list
 }
 
+// put adds a connection to the idle ones, or closes it if there are enough.
 func (p *Pool) put(t Target, c *conn) {
-	_ = c.nc.SetWriteDeadline(time.Time{}) // one that can't be set shows at the next use
-	c.until = time.Now().Add(c.idleFor)
+	_ = c.nc.SetWriteDeadline(time.Time{}) // an error recurs at the next use
+	c.idleUntil = time.Now().Add(c.idleTimeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[t]) >= maxIdle {
+	if len(p.idle[t]) >= maxIdleConns {
 		_ = c.nc.Close()
 		return
 	}
 	p.idle[t] = append(p.idle[t], c)
 }
 
-// Sweep closes connections that were idle for too long.
+// Sweep closes the connections whose idle timeout has expired.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for t, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
+			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 				continue
 			}
 			_ = c.nc.Close()
 		}
-		p.setIdle(t, kept)
+		p.setIdleLocked(t, kept)
 	}
-	maps.DeleteFunc(p.broken, func(_ Target, at time.Time) bool { return now.Sub(at) > brokenFor })
+	maps.DeleteFunc(p.brokenAt, func(_ Target, at time.Time) bool { return now.Sub(at) > brokenTTL })
 }
 
 // Close closes all idle connections.
@@ -237,9 +244,9 @@
 	p.Sweep(time.Now().Add(time.Hour))
 }
 
-// announcedIdle returns how long a connection may be kept by its Keep-Alive
-// header, or zero if it does not say.
-func announcedIdle(h http.Header) time.Duration {
+// keepAliveTimeout returns how long an idle connection may be kept according to
+// the Keep-Alive header in h, less a margin; zero if it has no timeout.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if name != "timeout" {
@@ -254,15 +261,16 @@
 	return 0
 }
 
-// IsConnect reports whether nothing of a request was sent.
+// IsConnect reports whether err is an ErrConnect: no part of the request was
+// sent.
 func IsConnect(err error) bool { return errorx.IsOfType(err, ErrConnect) }
 
-// IsRefused reports whether nothing listens at the address: the endpoint's
-// machine is there and refused the connection.
+// IsRefused reports whether the connection was refused: the endpoint's machine
+// is up, but nothing listens at the address.
 //
-// Causes in wrapped errors are not seen by errors.Is.
-// It shows as a crashed endpoint that is asked again every half second for as
-// long as it stays published. The guard holds because each cause is looked at.
+// errors.Is does not see the causes of wrapped errorx errors, so that each cause
+// is checked here. Otherwise a crashed endpoint would be tried again every half
+// second for as long as it stays published.
 func IsRefused(err error) bool {
 	for err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -19,8 +19,9 @@
 	"ebonypulley/upstream"
 )
 
-// serve accepts connections and hands each with its number to fn.
-func serve(t *testing.T, fn func(n int, c net.Conn)) (upstream.Target, *atomic.Int32) {
+// serveConns starts a listener and calls fn with each connection and its number,
+// from 1. It returns the target and the count of connections.
+func serveConns(t *testing.T, fn func(n int, c net.Conn)) (upstream.Target, *atomic.Int32) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
@@ -51,11 +52,11 @@
 	return r
 }
 
-func answer(id, body string) string {
+func rawAnswer(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + string(rune('0'+len(body))) + "\r\n\r\n" + body
 }
 
-func get(id string) *upstream.Request {
+func getRequest(id string) *upstream.Request {
 	return &upstream.Request{
 		Method: http.MethodGet, URI: "/x", Host: "h", Header: http.Header{"Id": {id}, "User-Agent": {""}},
 		Matches: func(h http.Header, first bool) bool { return h.Get("Id") == id || h.Get("Id") == "" && first },
@@ -74,54 +75,55 @@
 	return string(body), err
 }
 
-// TestLateSecondAnswer: a client gets the answer to somebody else's request. A
-// worker sent an answer twice; the second copy arrived when the next request
-// was already on the connection.
-func TestLateSecondAnswer(t *testing.T) {
-	target, _ := serve(t, func(_ int, c net.Conn) {
+// TestDuplicateAnswerIsSkipped: an endpoint sends an answer twice, and the copy
+// arrives after the next request was sent on the connection. That request must
+// not get the copy as its answer.
+func TestDuplicateAnswerIsSkipped(t *testing.T) {
+	target, _ := serveConns(t, func(_ int, c net.Conn) {
 		br := bufio.NewReader(c)
 		readRequest(t, br)
-		_, _ = io.WriteString(c, answer("1", "one"))
+		_, _ = io.WriteString(c, rawAnswer("1", "one"))
 		readRequest(t, br)
-		_, _ = io.WriteString(c, answer("1", "one")+answer("2", "two"))
+		_, _ = io.WriteString(c, rawAnswer("1", "one")+rawAnswer("2", "two"))
 		readRequest(t, br)
 	})
 	p := upstream.NewPool(nil)
 	defer p.Close()
-	body, err := call(p, target, get("1"))
+	body, err := call(p, target, getRequest("1"))
 	require.NoError(t, err)
 	assert.Equal(t, "one", body)
-	body, err = call(p, target, get("2"))
+	body, err = call(p, target, getRequest("2"))
 	require.NoError(t, err)
 	assert.Equal(t, "two", body)
 }
 
-// lateWriter is a connection whose writes return after the bytes have gone.
-type lateWriter struct{ net.Conn }
+// slowReturnConn is a connection whose writes return 20 ms after the bytes were
+// sent.
+type slowReturnConn struct{ net.Conn }
 
-func (c lateWriter) Write(b []byte) (int, error) {
+func (c slowReturnConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	time.Sleep(20 * time.Millisecond)
 	return n, err
 }
 
-// TestAnswerBeforeWriteReturns: a busy entry makes a new connection for each
-// request. The answer is whole before the goroutine that wrote the request has
-// run again, so that the request seems not to be sent yet.
-func TestAnswerBeforeWriteReturns(t *testing.T) {
+// TestAnswerBeforeWriteReturnsKeepsConnection: on a busy machine the answer is
+// complete before the goroutine that wrote the request has run again. The
+// connection must still be kept; otherwise each request would need a new one.
+func TestAnswerBeforeWriteReturnsKeepsConnection(t *testing.T) {
 	for _, body := range []int{0, 8 << 10} {
-		target, count := serve(t, func(_ int, c net.Conn) {
+		target, count := serveConns(t, func(_ int, c net.Conn) {
 			br := bufio.NewReader(c)
 			for readRequest(t, br) != nil {
-				_, _ = io.WriteString(c, answer("1", "one"))
+				_, _ = io.WriteString(c, rawAnswer("1", "one"))
 			}
 		})
 		p := upstream.NewPool(func(ctx context.Context, network, addr string) (net.Conn, error) {
 			nc, err := new(net.Dialer).DialContext(ctx, network, addr)
-			return lateWriter{nc}, err
+			return slowReturnConn{nc}, err
 		})
 		for range 3 {
-			r := get("1")
+			r := getRequest("1")
 			r.Method, r.Body = http.MethodPost, make([]byte, body)
 			_, err := call(p, target, r)
 			require.NoError(t, err)
@@ -132,21 +134,22 @@
 	}
 }
 
-// TestUnaskedBytes: as before, but the second answer arrives while the
-// connection is idle; such a connection is not used again.
-func TestUnaskedBytes(t *testing.T) {
-	target, count := serve(t, func(_ int, c net.Conn) {
+// TestUnsolicitedBytesCloseIdleConnection: an endpoint sends an answer twice, and
+// the copy arrives while the connection is idle. The connection must not be used
+// again.
+func TestUnsolicitedBytesCloseIdleConnection(t *testing.T) {
+	target, count := serveConns(t, func(_ int, c net.Conn) {
 		br := bufio.NewReader(c)
 		for readRequest(t, br) != nil {
-			_, _ = io.WriteString(c, answer("1", "one"))
+			_, _ = io.WriteString(c, rawAnswer("1", "one"))
 			time.Sleep(20 * time.Millisecond)
-			_, _ = io.WriteString(c, answer("1", "one"))
+			_, _ = io.WriteString(c, rawAnswer("1", "one"))
 		}
 	})
 	p := upstream.NewPool(nil)
 	defer p.Close()
 	for range 2 {
-		body, err := call(p, target, get("1"))
+		body, err := call(p, target, getRequest("1"))
 		require.NoError(t, err)
 		assert.Equal(t, "one", body)
 		time.Sleep(50 * time.Millisecond)
@@ -154,74 +157,75 @@
 	assert.EqualValues(t, 2, count.Load())
 }
 
-// TestNoHiddenRepeat: a lookup runs twice although nobody asked for it. The
-// worker read it on a kept connection and reset that; a client library may
-// send it again by itself, which counts against the retry budget.
-func TestNoHiddenRepeat(t *testing.T) {
+// TestNoAutomaticRetry: an endpoint reads a request on a kept connection and
+// closes it without an answer. An HTTP client that retries by itself would run
+// the request twice, outside the retry budget.
+func TestNoAutomaticRetry(t *testing.T) {
 	var requests atomic.Int32
-	target, _ := serve(t, func(_ int, c net.Conn) {
+	target, _ := serveConns(t, func(_ int, c net.Conn) {
 		br := bufio.NewReader(c)
 		readRequest(t, br)
 		requests.Add(1)
-		_, _ = io.WriteString(c, answer("1", "one"))
+		_, _ = io.WriteString(c, rawAnswer("1", "one"))
 		if readRequest(t, br) != nil {
 			requests.Add(1)
 		}
 	})
 	p := upstream.NewPool(nil)
 	defer p.Close()
-	_, err := call(p, target, get("1"))
+	_, err := call(p, target, getRequest("1"))
 	require.NoError(t, err)
-	_, err = call(p, target, get("1"))
+	_, err = call(p, target, getRequest("1"))
 	assert.True(t, errorx.IsOfType(err, upstream.ErrLost))
 	assert.EqualValues(t, 2, requests.Load())
 }
 
-// TestClosedIdleConnection: a lookup is lost to a worker that closed its idle
-// connection before. The kernel knows, and a new connection is made.
+// TestClosedIdleConnection: a request on a connection that the endpoint closed
+// while it was idle would be lost. The kernel reports the close, and a new
+// connection is made.
 func TestClosedIdleConnection(t *testing.T) {
-	target, count := serve(t, func(_ int, c net.Conn) {
+	target, count := serveConns(t, func(_ int, c net.Conn) {
 		readRequest(t, bufio.NewReader(c))
-		_, _ = io.WriteString(c, answer("1", "one"))
+		_, _ = io.WriteString(c, rawAnswer("1", "one"))
 	})
 	p := upstream.NewPool(nil)
 	defer p.Close()
 	for range 3 {
-		_, err := call(p, target, get("1"))
+		_, err := call(p, target, getRequest("1"))
 		require.NoError(t, err)
 		time.Sleep(20 * time.Millisecond)
 	}
 	assert.EqualValues(t, 3, count.Load())
 }
 
-// TestShortAnswer: a client takes a part for the whole. The worker announced
-// more than it sent.
-func TestShortAnswer(t *testing.T) {
-	target, _ := serve(t, func(_ int, c net.Conn) {
+// TestTruncatedAnswer: an endpoint sends fewer bytes than its Content-Length. The
+// caller must get an error instead of a part of the answer.
+func TestTruncatedAnswer(t *testing.T) {
+	target, _ := serveConns(t, func(_ int, c net.Conn) {
 		readRequest(t, bufio.NewReader(c))
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none")
 	})
 	p := upstream.NewPool(nil)
 	defer p.Close()
-	_, err := call(p, target, get("1"))
+	_, err := call(p, target, getRequest("1"))
 	assert.Error(t, err)
 }
 
-// TestEarlyAnswer: a worker gets other bytes where the rest of a long body is
-// due. It answered before it had read the body; the connection must not carry
-// another request.
-func TestEarlyAnswer(t *testing.T) {
-	target, count := serve(t, func(_ int, c net.Conn) {
+// TestAnswerBeforeBodyIsRead: an endpoint answers before it has read a long body.
+// The connection must not carry another request, which the endpoint would read as
+// the rest of the body.
+func TestAnswerBeforeBodyIsRead(t *testing.T) {
+	target, count := serveConns(t, func(_ int, c net.Conn) {
 		br := bufio.NewReader(c)
 		_, err := http.ReadRequest(br)
 		assert.NoError(t, err)
-		_, _ = io.WriteString(c, answer("1", "no"))
+		_, _ = io.WriteString(c, rawAnswer("1", "no"))
 		time.Sleep(300 * time.Millisecond)
 	})
 	p := upstream.NewPool(nil)
 	defer p.Close()
 	for range 2 {
-		r := get("1")
+		r := getRequest("1")
 		r.Method, r.Body = http.MethodPost, make([]byte, 8<<20)
 		body, err := call(p, target, r)
 		require.NoError(t, err)
@@ -230,39 +234,42 @@
 	assert.EqualValues(t, 2, count.Load())
 }
 
-// TestAddressUsedAgain: a request reaches a worker of another service. Its
-// address was that of a worker that is gone; connections are kept by
-// incarnation.
-func TestAddressUsedAgain(t *testing.T) {
-	target, count := serve(t, func(_ int, c net.Conn) {
+// TestReusedAddress: an endpoint has the address of one that is gone. A request to
+// it must not use a connection to its predecessor, which may serve something else;
+// connections are pooled by incarnation.
+func TestReusedAddress(t *testing.T) {
+	target, count := serveConns(t, func(_ int, c net.Conn) {
 		br := bufio.NewReader(c)
 		for readRequest(t, br) != nil {
-			_, _ = io.WriteString(c, answer("1", "one"))
+			_, _ = io.WriteString(c, rawAnswer("1", "one"))
 		}
 	})
 	p := upstream.NewPool(nil)
 	defer p.Close()
-	_, err := call(p, target, get("1"))
+	_, err := call(p, target, getRequest("1"))
 	require.NoError(t, err)
 	target.ID = "successor"
-	_, err = call(p, target, get("1"))
+	_, err = call(p, target, getRequest("1"))
 	require.NoError(t, err)
 	assert.EqualValues(t, 2, count.Load())
 }
 
-// TestNothingListens: nothing of the request was sent, so that it may go
-// elsewhere whatever it is.
-func TestNothingListens(t *testing.T) {
+// TestNothingListensIsConnectError: if nothing listens at the address, the error
+// must say that no part of the request was sent, so that any request may be sent
+// to another endpoint.
+func TestNothingListensIsConnectError(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	_ = ln.Close()
 	p := upstream.NewPool(nil)
-	_, err = call(p, upstream.Target{ID: "e", Addr: ln.Addr().String()}, get("1"))
+	_, err = call(p, upstream.Target{ID: "e", Addr: ln.Addr().String()}, getRequest("1"))
 	assert.True(t, upstream.IsConnect(err))
 }
 
-func TestAnnouncedIdle(t *testing.T) {
-	target, count := serve(t, func(_ int, c net.Conn) {
+// TestKeepAliveTimeout: if the endpoint advertises an idle timeout, this side must
+// close an idle connection first.
+func TestKeepAliveTimeout(t *testing.T) {
+	target, count := serveConns(t, func(_ int, c net.Conn) {
 		br := bufio.NewReader(c)
 		for readRequest(t, br) != nil {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\nContent-Length: 2\r\n\r\nok")
@@ -271,16 +278,17 @@
 	p := upstream.NewPool(nil)
 	defer p.Close()
 	for range 2 {
-		_, err := call(p, target, get("1"))
+		_, err := call(p, target, getRequest("1"))
 		require.NoError(t, err)
 		time.Sleep(600 * time.Millisecond)
 	}
-	assert.EqualValues(t, 2, count.Load(), "this end gives an idle connection up first")
+	assert.EqualValues(t, 2, count.Load(), "this side closes an idle connection first")
 }
 
-// TestRefusedIsSeen: drafts go to a crashed engine again every half second. Its
-// machine refuses connections at once, but the wrapped cause was not seen.
-func TestRefusedIsSeen(t *testing.T) {
+// TestIsRefused: the machine of a crashed endpoint refuses connections. If the
+// wrapped cause were not found, requests would be sent there again every half
+// second.
+func TestIsRefused(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -292,12 +300,12 @@
 	assert.False(t, upstream.IsRefused(errors.New("other")))
 }
 
-// TestFreshTakesThePlaceOfIdle: each booking opens a connection that is then kept beside
-// those of the bookings before. All entries together fill what an endpoint accepts, and when
-// they lose power their dead connections keep callers out for seconds.
-func TestFreshTakesThePlaceOfIdle(t *testing.T) {
+// TestFreshConnectionEvictsIdle: if each request with a new connection left it idle beside
+// the earlier ones, all entries together would reach the connection limit of an endpoint.
+// When entries lose power, their dead connections would then block callers for seconds.
+func TestFreshConnectionEvictsIdle(t *testing.T) {
 	var open atomic.Int32
-	target, _ := serve(t, func(_ int, c net.Conn) {
+	target, _ := serveConns(t, func(_ int, c net.Conn) {
 		open.Add(1)
 		defer open.Add(-1)
 		br := bufio.NewReader(c)
@@ -306,24 +314,24 @@
 			if r == nil {
 				return
 			}
-			_, _ = io.WriteString(c, answer(r.Header.Get("Id"), "ok"))
+			_, _ = io.WriteString(c, rawAnswer(r.Header.Get("Id"), "ok"))
 		}
 	})
 	p := upstream.NewPool(nil)
 	defer p.Close()
 	for range 20 {
-		r := get("a")
+		r := getRequest("a")
 		r.Fresh = true
 		_, err := call(p, target, r)
 		require.NoError(t, err)
 	}
-	assert.Eventually(t, func() bool { return open.Load() <= 2 }, time.Second, 5*time.Millisecond, "connections stay open")
+	assert.Eventually(t, func() bool { return open.Load() <= 2 }, time.Second, 5*time.Millisecond, "idle connections stay open")
 }
 
-// TestResetBeforeAnythingIsSent: an endpoint that has as many connections as it accepts
-// resets each new one. The caller is told that its booking may have run, though nothing of
-// it was sent, and nobody tries it elsewhere.
-func TestResetBeforeAnythingIsSent(t *testing.T) {
+// TestResetBeforeSendIsConnectError: an endpoint at its connection limit resets each new
+// connection. The error must say that no part of the request was sent; otherwise the request
+// counts as possibly run and is not sent to another endpoint.
+func TestResetBeforeSendIsConnectError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var dialled, read int
 		p := upstream.NewPool(func(context.Context, string, string) (net.Conn, error) {
@@ -339,12 +347,12 @@
 			return near, nil
 		})
 		defer p.Close()
-		booking := get("a")
-		booking.Fresh = true
-		_, err := call(p, upstream.Target{ID: "e", Addr: "e:1"}, booking) // nothing is known of it yet
+		fresh := getRequest("a")
+		fresh.Fresh = true
+		_, err := call(p, upstream.Target{ID: "e", Addr: "e:1"}, fresh) // the pool has no record of the endpoint yet
 		require.Error(t, err)
 		for range 5 {
-			_, err := call(p, upstream.Target{ID: "e", Addr: "e:1"}, booking)
+			_, err := call(p, upstream.Target{ID: "e", Addr: "e:1"}, fresh)
 			assert.True(t, upstream.IsConnect(err), "%v", err)
 		}
 		assert.Equal(t, 6, dialled)
