--- a/engine/api.go
+++ b/engine/api.go
@@ -1,6 +1,6 @@
-// Package engine is the HTTP interface of a model engine as an agent uses it:
-// OpenAI-style completions with kv_transfer_params for separate prefill and
-// decode, and beside them load, cache events, resumable streams and orders.
+// Package engine defines the HTTP API of a model engine, with the client that
+// agents use: OpenAI-style completions with kv_transfer_params for separate
+// prefill and decode, and also load, cache events, resumable streams and orders.
 package engine
 
 import "time"
@@ -12,41 +12,43 @@
 	Prompt    string `json:"prompt,omitempty"`
 	MaxTokens int    `json:"max_tokens"`
 	Stream    bool   `json:"stream"`
-	// Priority orders work in the engine; higher goes first.
+	// Priority orders the work in the engine; higher values run first.
 	Priority int         `json:"priority"`
 	KV       *KVTransfer `json:"kv_transfer_params,omitempty"`
 }
 
-// KVTransfer tells where the KV cache of a request goes to or comes from.
+// KVTransfer describes the transfer of the KV cache of a request between
+// engines.
 type KVTransfer struct {
 	// DoRemoteDecode asks a prefill engine to export its result.
 	DoRemoteDecode bool `json:"do_remote_decode,omitempty"`
 	// DoRemotePrefill asks a decode engine to use the imported result.
 	DoRemotePrefill bool `json:"do_remote_prefill,omitempty"`
-	// RemoteURL and RemoteHandle name an exported result.
+	// RemoteURL is the base URL of the engine that exported the result, and
+	// RemoteHandle identifies the result there.
 	RemoteURL    string `json:"remote_url,omitempty"`
 	RemoteHandle string `json:"remote_handle,omitempty"`
-	// RemoteBytes is its size.
+	// RemoteBytes is the size of the result in bytes.
 	RemoteBytes int64 `json:"remote_bytes,omitempty"`
-	// ExpiresMS is the time left to fetch it, in milliseconds.
+	// ExpiresMS is the time left to fetch the result, in milliseconds.
 	ExpiresMS int64 `json:"expires_ms,omitempty"`
 }
 
-// Usage counts tokens.
+// Usage holds the token counts of a request.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	CachedTokens     int `json:"cached_tokens"`
 }
 
-// Choice is one alternative of an answer; there is always one.
+// Choice is an alternative of an answer. Answers have exactly one.
 type Choice struct {
 	Index        int    `json:"index"`
 	Text         string `json:"text"`
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// Completion is the answer to a prefill and each event of a stream.
+// Completion is the answer to a prefill request, or one event of a stream.
 type Completion struct {
 	ID      string   `json:"id"`
 	Choices []Choice `json:"choices"`
@@ -56,31 +58,32 @@
 	KV         *KVTransfer `json:"kv_transfer_params,omitempty"`
 }
 
-// ImportRequest is the body of POST /v1/kv/import. The call returns when the
-// KV cache has arrived.
+// ImportRequest is the body of POST /v1/kv/import, which returns when the KV
+// cache has been transferred.
 type ImportRequest struct {
 	RequestID string `json:"request_id"`
 	URL       string `json:"url"`
 	Handle    string `json:"handle"`
-	// BytesPerSecond is the rate that the link's owner allows.
+	// BytesPerSecond is the transfer rate that the limit of the link allows.
 	BytesPerSecond float64 `json:"bytes_per_second"`
 }
 
-// Exported is the answer to GET /v1/kv/{handle}: the claim of a result.
+// Exported is the answer to GET /v1/kv/{handle}, by which one engine fetches a
+// result from another.
 type Exported struct {
 	PromptTokens int   `json:"prompt_tokens"`
 	Bytes        int64 `json:"bytes"`
-	// State is opaque to all but engines of the same model.
+	// State is the exported state. Only engines of the same model can read it.
 	State []byte `json:"state"`
 }
 
-// Load is the answer to GET /v1/load. It lags.
+// Load is the answer to GET /v1/load. It may be out of date.
 type Load struct {
 	Running       int `json:"running"`
 	Waiting       int `json:"waiting"`
 	Capacity      int `json:"capacity"`
 	BacklogTokens int `json:"backlog_tokens"`
-	// Epoch changes when the engine lost its memory.
+	// Epoch changes when the engine has lost its memory.
 	Epoch uint64 `json:"epoch"`
 }
 
@@ -88,56 +91,64 @@
 type State struct {
 	Model string `json:"model"`
 	Role  string `json:"role"`
+	// Fence is the highest fencing number of an order that the engine accepted.
 	Fence uint64 `json:"fence"`
-	// Loading says that an order is still being carried out.
+	// Loading is set while an order is being carried out.
 	Loading bool `json:"loading"`
 }
 
-// Order is the body of POST /v1/orders.
+// Order is the body of POST /v1/orders: a command to load a model or to change
+// the role.
 type Order struct {
-	// Fence is the fencing number; engines that check it refuse an order
-	// with a lower one than they have seen.
+	// Fence is the fencing number of the order. Engines that check it refuse an
+	// order with a lower number than they have seen.
 	Fence uint64 `json:"fence"`
 	Model string `json:"model"`
 	Role  string `json:"role"`
 }
 
-// Requests is the answer to GET /v1/requests: what the engine holds.
+// Requests is the answer to GET /v1/requests: the requests for which the engine
+// holds memory.
 type Requests struct {
 	IDs []string `json:"ids"`
 }
 
-// CacheEvent tells that a block of a prompt entered or left the prefix cache.
-// Numbers have gaps where events were lost.
+// CacheEvent reports that a block of a prompt was added to the prefix cache or
+// evicted from it.
 type CacheEvent struct {
-	Seq    uint64 `json:"seq"`
-	Stored bool   `json:"stored"`
-	Block  uint64 `json:"block"`
+	// Seq is the number of the event. Gaps mean that events were lost.
+	Seq uint64 `json:"seq"`
+	// Stored is set if the block was added.
+	Stored bool `json:"stored"`
+	// Block is the hash of the block, as returned by Blocks.
+	Block uint64 `json:"block"`
 }
 
 // CacheEvents is the answer to GET /v1/cache/events.
 type CacheEvents struct {
+	// Epoch is as in Load.
 	Epoch  uint64       `json:"epoch"`
 	Events []CacheEvent `json:"events"`
 }
 
-// Sizes that engines and the router share.
+// Sizes on which engines and the router agree.
 const (
-	// BytesPerToken is the estimate of a prompt's tokens from its bytes.
+	// BytesPerToken is the assumed number of bytes of a prompt token.
 	BytesPerToken = 4
-	// BlockTokens is the unit of the prefix cache.
+	// BlockTokens is the block size of the prefix cache in tokens.
 	BlockTokens = 64
-	// KVBytesPerToken is the size of the KV cache of one token: 14,000
-	// requests a second with 3,700 GB/s is 264 MB a request.
+	// KVBytesPerToken is the size of one token's KV cache in bytes. It matches a
+	// load of 14,000 requests a second that transfers 3,700 GB/s in total, which
+	// is 264 MB a request.
 	KVBytesPerToken = 128 << 10
 )
 
-// CountTokens estimates the tokens of a text.
+// CountTokens estimates the number of tokens of a text from its length.
 func CountTokens(text string) int {
 	return (len(text) + BytesPerToken - 1) / BytesPerToken
 }
 
-// ExpiresIn returns the time left to fetch an exported result.
+// ExpiresIn returns the time left to fetch the result.
 func (k *KVTransfer) ExpiresIn() time.Duration {
 	return time.Duration(k.ExpiresMS) * time.Millisecond
 }
--- a/engine/block.go
+++ b/engine/block.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Blocks returns the chained hashes of a prompt's full cache blocks: equal
-// hashes mean equal text up to and including that block.
+// Blocks returns the chained hashes of a prompt's complete cache blocks. Equal
+// hashes mean equal text from the start up to and including that block.
 func Blocks(prompt string) []uint64 {
 	const size = BlockTokens * BytesPerToken
 	blocks := make([]uint64, 0, len(prompt)/size)
--- a/engine/client.go
+++ b/engine/client.go
@@ -16,32 +16,37 @@
 
 var (
 	engineErrors = errorx.NewNamespace("engine")
-	// ErrUnreachable is returned when the engine does not answer.
+	// ErrUnreachable is returned when the engine does not answer, or its answer
+	// ends early.
 	ErrUnreachable = engineErrors.NewType("unreachable")
-	// ErrGone is returned when the engine does not know the request or
-	// result any more.
+	// ErrGone is returned when the engine does not have the request or the
+	// result (any more).
 	ErrGone = engineErrors.NewType("gone")
-	// ErrRefused is returned for any other refusal.
+	// ErrRefused is returned for any other error status, and for an invalid
+	// answer.
 	ErrRefused = engineErrors.NewType("refused")
 )
 
-// maxReply bounds a reply that is not a stream.
-const maxReply = 8 << 20
+// maxReplySize is the maximum size in bytes of a reply that is not a stream.
+const maxReplySize = 8 << 20
 
-// Client speaks to one engine.
+// Client is a client of one engine.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a client of the engine at base over h's connections.
+// NewClient returns a Client of the engine at the URL base that sends its
+// requests with h.
 func NewClient(base string, h *http.Client) *Client {
 	return &Client{base: strings.TrimSuffix(base, "/"), http: h}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
+// do sends a request with a JSON body, or none if body is nil, and returns the
+// answer if its status is a success.
 func (c *Client) do(ctx context.Context, method, path string, body any) (*http.Response, error) {
 	var r io.Reader
 	if body != nil {
@@ -70,6 +75,8 @@
 	return nil, ErrRefused.New("%s %s: %d %s", method, path, resp.StatusCode, text)
 }
 
+// call sends a request like do and decodes the JSON reply into out, or discards
+// it if out is nil.
 func (c *Client) call(ctx context.Context, method, path string, body, out any) error {
 	resp, err := c.do(ctx, method, path, body)
 	if err != nil {
@@ -77,9 +84,9 @@
 	}
 	defer resp.Body.Close()
 	if out == nil {
-		_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxReply))
+		_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxReplySize))
 	} else {
-		err = json.NewDecoder(io.LimitReader(resp.Body, maxReply)).Decode(out)
+		err = json.NewDecoder(io.LimitReader(resp.Body, maxReplySize)).Decode(out)
 	}
 	if err != nil {
 		return ErrUnreachable.Wrap(err, "%s %s: reply", method, path)
@@ -87,7 +94,7 @@
 	return nil
 }
 
-// Prefill computes and exports the KV cache of a prompt.
+// Prefill makes the engine compute and export the KV cache of a prompt.
 func (c *Client) Prefill(ctx context.Context, req CompletionRequest) (Completion, error) {
 	req.MaxTokens = 1
 	req.KV = &KVTransfer{DoRemoteDecode: true}
@@ -99,22 +106,23 @@
 	return out, err
 }
 
-// Import brings an exported KV cache into the engine's memory.
+// Import transfers an exported KV cache into the engine's memory.
 func (c *Client) Import(ctx context.Context, req ImportRequest) error {
 	return c.call(ctx, http.MethodPost, "/v1/kv/import", req, nil)
 }
 
-// DropKV frees an exported result.
+// DropKV frees an exported result. One that is gone is no error.
 func (c *Client) DropKV(ctx context.Context, handle string) error {
-	return ignoreGone(c.call(ctx, http.MethodDelete, "/v1/kv/"+url.PathEscape(handle), nil, nil))
+	return ignoreErrGone(c.call(ctx, http.MethodDelete, "/v1/kv/"+url.PathEscape(handle), nil, nil))
 }
 
-// Abort frees all that the engine holds for a request.
+// Abort stops a request and frees all that the engine holds for it. A request
+// that is gone is no error.
 func (c *Client) Abort(ctx context.Context, id string) error {
-	return ignoreGone(c.call(ctx, http.MethodDelete, "/v1/requests/"+url.PathEscape(id), nil, nil))
+	return ignoreErrGone(c.call(ctx, http.MethodDelete, "/v1/requests/"+url.PathEscape(id), nil, nil))
 }
 
-func ignoreGone(err error) error {
+func ignoreErrGone(err error) error {
 	if errorx.IsOfType(err, ErrGone) {
 		return nil
 	}
@@ -127,36 +135,36 @@
 	return r, c.call(ctx, http.MethodGet, "/v1/requests", nil, &r)
 }
 
-// Load reads the engine's load.
+// Load returns the engine's load.
 func (c *Client) Load(ctx context.Context) (Load, error) {
 	var l Load
 	return l, c.call(ctx, http.MethodGet, "/v1/load", nil, &l)
 }
 
-// State reads what the engine serves.
+// State returns what the engine serves.
 func (c *Client) State(ctx context.Context) (State, error) {
 	var s State
 	return s, c.call(ctx, http.MethodGet, "/v1/state", nil, &s)
 }
 
-// Order gives an order to the engine.
+// Order sends an order to the engine.
 func (c *Client) Order(ctx context.Context, o Order) error {
 	return c.call(ctx, http.MethodPost, "/v1/orders", o, nil)
 }
 
-// CacheEvents reads the cache events after a number.
+// CacheEvents returns the cache events whose number is greater than after.
 func (c *Client) CacheEvents(ctx context.Context, after uint64) (CacheEvents, error) {
 	var e CacheEvents
 	return e, c.call(ctx, http.MethodGet, "/v1/cache/events?after="+strconv.FormatUint(after, 10), nil, &e)
 }
 
-// Stream is a running answer.
+// Stream is the event stream of an answer that is being generated.
 type Stream struct {
-	body io.ReadCloser
-	scan *bufio.Scanner
+	body    io.ReadCloser
+	scanner *bufio.Scanner
 }
 
-// Decode starts the generation of an imported request.
+// Decode starts the generation for a request whose KV cache was imported.
 func (c *Client) Decode(ctx context.Context, req CompletionRequest) (*Stream, error) {
 	req.Stream = true
 	req.KV = &KVTransfer{DoRemotePrefill: true}
@@ -167,7 +175,7 @@
 	return newStream(resp), nil
 }
 
-// Resume opens the stream of a running request again at token from.
+// Resume reopens the stream of a running request at token number from.
 func (c *Client) Resume(ctx context.Context, id string, from int) (*Stream, error) {
 	path := "/v1/streams/" + url.PathEscape(id) + "?from=" + strconv.Itoa(from)
 	resp, err := c.do(ctx, http.MethodGet, path, nil)
@@ -177,22 +185,23 @@
 	return newStream(resp), nil
 }
 
-const maxEvent = 64 << 10
+// maxEventSize is the maximum size in bytes of a line of a stream.
+const maxEventSize = 64 << 10
 
 func newStream(resp *http.Response) *Stream {
 	scan := bufio.NewScanner(resp.Body)
-	scan.Buffer(nil, maxEvent)
-	return &Stream{body: resp.Body, scan: scan}
+	scan.Buffer(nil, maxEventSize)
+	return &Stream{body: resp.Body, scanner: scan}
 }
 
-// Close ends the reading; the request goes on.
+// Close closes the stream; the engine continues the request.
 func (s *Stream) Close() { _ = s.body.Close() }
 
-// Next returns the next event; io.EOF after the final one. Any other end is
-// ErrUnreachable.
+// Next returns the next event. The error is io.EOF after the final event,
+// ErrRefused for an invalid event, or ErrUnreachable if the stream ends early.
 func (s *Stream) Next() (Completion, error) {
-	for s.scan.Scan() {
-		data, ok := strings.CutPrefix(s.scan.Text(), "data: ")
+	for s.scanner.Scan() {
+		data, ok := strings.CutPrefix(s.scanner.Text(), "data: ")
 		if !ok {
 			continue
 		}
@@ -208,13 +217,13 @@
 		}
 		return e, nil
 	}
-	if err := s.scan.Err(); err != nil {
+	if err := s.scanner.Err(); err != nil {
 		return Completion{}, ErrUnreachable.Wrap(err, "stream")
 	}
 	return Completion{}, ErrUnreachable.New("stream ended before its final event")
 }
 
-// Claim fetches an exported result; engines call it on each other.
+// Claim fetches an exported result. Engines call it on each other.
 func (c *Client) Claim(ctx context.Context, handle string) (Exported, error) {
 	var x Exported
 	return x, c.call(ctx, http.MethodGet, "/v1/kv/"+url.PathEscape(handle), nil, &x)
