--- a/peer/manager.go
+++ b/peer/manager.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// Wait blocks until the connections of all peers are closed.
+// Wait blocks until all peers have stopped and closed their connections.
 func (m *Manager) Wait() { m.wg.Wait() }
 
 // Apply starts peers for new endpoints and replaces the peer of an endpoint
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -62,9 +62,9 @@
 	load        wire.Load
 	opened      int // number of attempts opened since load was reported
 	streams     map[wire.ID]*Stream
-	cancels     map[wire.ID]time.Time
-	agentConfig config.Version // version of the agent's document, as last reported
-	removedAt   time.Time      // when the endpoint was found not to be declared; zero while it is
+	cancels     map[wire.ID]time.Time // unacknowledged Cancels, with the time of each first one
+	agentConfig config.Version        // version of the agent's document, as last reported
+	removedAt   time.Time             // when the endpoint was found not to be declared; zero while it is
 }
 
 func newPeer(e config.Endpoint, m *Manager) *Peer {
@@ -198,8 +198,8 @@
 	return err
 }
 
-// sendHeartbeats sends pings and closes the connection when nothing has been
-// received for IdleTimeout.
+// sendHeartbeats sends pings, repeats unacknowledged Cancels, and closes the
+// connection when nothing has been received for IdleTimeout.
 //
 // A middlebox that drops its state of a connection leaves it open and silent for
 // good, and answers would stop midway. A healthy agent answers every ping on the
--- a/upstream/tcp.go
+++ b/upstream/tcp.go
@@ -40,7 +40,7 @@
 
 // isIdle reports whether a connection is open and has no bytes to read. It asks
 // the kernel without blocking and is called right before a kept connection is
-// used.
+// used. A connection without a file descriptor always counts as idle.
 //
 // An endpoint may have closed the connection, which would lose the request, or
 // have sent a second answer after a complete one, which the request would get
--- a/wire/message.go
+++ b/wire/message.go
@@ -143,7 +143,8 @@
 type Reserve struct {
 	ID ID
 	// Tokens is the prompt's length plus the maximum length of the answer.
-	Tokens   int
+	Tokens int
+	// Priority orders queued requests: higher values go first.
 	Priority int
 	// Spare restricts the request to capacity outside the reserved headroom.
 	Spare bool
