--- a/peer/stream.go
+++ b/peer/stream.go
@@ -28,10 +28,10 @@
 // same window again after a resume, and 64 messages that carry no tokens.
 const maxQueuedEvents = 2*Window + 64
 
-// LinkState reports that the connection to an agent was lost or is up again.
+// LinkState reports that the connection to an agent was lost or re-established.
 type LinkState struct {
-	// Up is set if the connection is up again. The attempt's last request must
-	// then be repeated.
+	// Up is set if the connection was re-established. The attempt's last request
+	// must then be repeated.
 	Up bool
 	// Incarnation is that of the agent now connected, if Up.
 	Incarnation wire.Incarnation
@@ -53,7 +53,7 @@
 }
 
 // Send sends a message of this attempt. ErrNotConnected means that it was not
-// sent; a Link event follows when the connection is up again.
+// sent; a Link event follows when the connection is re-established.
 func (s *Stream) Send(m wire.Message) error { return s.peer.send(m) }
 
 // Recv waits for the next event. When ctx ends, it returns the cause.
--- a/wire/report.go
+++ b/wire/report.go
@@ -14,7 +14,7 @@
 	Calls, Prefill, Decodes, KV int
 }
 
-// AvoidedEndpoint is an endpoint that an entry observed to be silent or gone, or at
+// AvoidedEndpoint is an endpoint that an entry observed to be unresponsive or gone, or at
 // which an attempt failed.
 type AvoidedEndpoint struct {
 	Endpoint string
