--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,11 +1,12 @@
-// Package catalog holds what the platform publishes as versioned entries. It
-// is a state machine without I/O: entries read from the store and entries
-// heard from other processes are merged in any order and any repetition with
-// the same result, and no entry ever goes back to an older revision.
+// Package catalog holds a process's copy of the entries that the platform publishes
+// in its store. It is a state machine without I/O: entries read from the store or
+// received from other processes may be merged in any order and repeatedly, with the
+// same result, and an entry never reverts to an older revision.
 //
-// The store may come back from a copy. What it lists then was either in the copy or written
-// since, and what it held in between is lost there, not here: an entry of the copy does not
-// take the place of a later one, and entries that nobody names again are gone.
+// The store may be restored from a backup, which begins a new era of revisions. Its
+// listings then lack the changes made after the backup, but the catalog still has
+// them: a restored entry does not replace a later one, and an entry of the former era
+// is removed unless the store or another process lists it in the new era.
 package catalog
 
 import (
@@ -17,151 +18,153 @@
 	"ebonypulley/revision"
 )
 
-// Entry is one published value, or the fact that it was removed.
+// Entry is one published value, or a tombstone for a removed one.
 type Entry struct {
 	Key string
-	// Value is opaque here.
+	// Value is opaque to this package.
 	Value []byte
-	// Revision is the store's at the last change of the key.
+	// Revision is the store's revision at the last change of the key.
 	Revision revision.Revision
-	// Removed says that the key is gone since Revision.
+	// Removed says that the key was removed at Revision.
 	Removed bool
 }
 
-// tombstoneLife is how long the removal of a key is remembered, so that a
-// process that lags behind can't bring it back. It exceeds every bound on how
-// long a process may be cut off and still count.
-const tombstoneLife = 60 * time.Second
+// tombstoneTTL is how long the removal of a key is remembered, so that a
+// process with stale state can't restore the entry. It exceeds every bound on how
+// long a process may be partitioned and still count as alive.
+const tombstoneTTL = 60 * time.Second
 
 const (
-	// outage is how long nothing may come from the store until entries that
-	// are gone then are taken for lapsed: endpoints' entries lapse after three
-	// missed heartbeats of about a second.
-	outage = 3 * time.Second
-	// lapsedFor is how long such entries still count. An endpoint that lives
-	// is listed again within about two seconds of the store's return.
-	lapsedFor = 1500 * time.Millisecond
-	// confirmFor is how long entries of an era that is over still count if nobody names
-	// them in the new one: some rounds in which another process hands it on.
-	confirmFor = 3 * time.Second
-	// doubtFor is how long an entry that was removed stays so when the store comes back from
-	// a copy with it: longer than an endpoint that is gone stays there, which is three
-	// missed heartbeats.
-	doubtFor = 5 * time.Second
+	// outageThreshold is the time without updates from the store after which removals
+	// are taken for expired leases: endpoints' entries expire after three missed
+	// heartbeats of about a second.
+	outageThreshold = 3 * time.Second
+	// expiredGrace is how long expired entries still count after an outage. A live
+	// endpoint is listed again within about two seconds of the store's return.
+	expiredGrace = 1500 * time.Millisecond
+	// eraConfirmTimeout is how long entries of a former era still count without being
+	// listed in the new one: several rounds in which another process may relay them.
+	eraConfirmTimeout = 3 * time.Second
+	// restoredSuppression is how long a removed entry still counts as removed when the
+	// store is restored from a backup that contains it. It exceeds the three missed
+	// heartbeats after which the store removes the entry of an endpoint that is gone.
+	restoredSuppression = 5 * time.Second
 )
 
-type slot struct {
+// record is an entry with the state that its merging needs.
+type record struct {
 	Entry
-	// last is the value that a removed entry had, and lapsedUntil until when it may only
-	// have lapsed.
-	last        []byte
-	lapsedUntil time.Time
-	// doubtUntil is until when an entry of a copy counts as removed.
-	doubtUntil time.Time
-	// kept says that the value was kept over an older one that the store has.
-	kept  bool
-	since time.Time // when this process learned of it
-	// changed is the revision of the last change that matters.
-	changed revision.Revision
+	// removedValue is the value that a removed entry had. Until graceUntil the entry
+	// counts as present with that value, because it may only have expired.
+	removedValue []byte
+	graceUntil   time.Time
+	// suppressUntil is until when an entry from a backup still counts as removed.
+	suppressUntil time.Time
+	// supersedesStore says that the store has an older value at the same revision.
+	supersedesStore bool
+	learnedAt       time.Time // when this process received the value
+	// changedAt is the revision of the last relevant change.
+	changedAt revision.Revision
 }
 
-// lastValue is the value of the entry, or the one that it had before it was removed.
-func (s *slot) lastValue() []byte {
-	if s.Removed {
-		return s.last
+// lastValue returns the value of the entry, or the one that it had before its removal.
+func (r *record) lastValue() []byte {
+	if r.Removed {
+		return r.removedValue
 	}
-	return s.Value
+	return r.Value
 }
 
 // Catalog is the merged state. It is safe for concurrent use.
 type Catalog struct {
-	// Same, if set before use, reports whether two values of a key differ in
-	// nothing that matters, such as the counter of a heartbeat. Such a change
-	// is no news and is not handed on: heartbeats of thousands of endpoints
-	// would fill every process's share of the network.
+	// Same, if set before use, reports whether two values of a key differ only in
+	// irrelevant fields, such as the counter of a heartbeat. Such a change is not
+	// reported or relayed: the heartbeats of thousands of endpoints would fill every
+	// process's share of the network.
 	Same func(a, b []byte) bool
-	// Supersedes, if set before use, reports whether a value of a key was written after
-	// another one, by what their writers count. It decides where the store's revisions do
-	// not, between what a copy held and what was known before.
-	Supersedes func(key string, value, than []byte) bool
-
-	mu    sync.Mutex
-	slots map[string]slot
-	read  revision.Revision // the store's up to which all is here
-	// floor is the revision from which on all removals are here: those before a listing are
-	// not in it. partial says that only a part of a listing is here.
-	floor   revision.Revision
-	partial bool
-	version uint64
-	changed chan struct{}
-	// eraAt is when the era of read began here, zero for the first one.
-	eraAt time.Time
-	// heard is when the store's state last came here, from whomever.
-	heard time.Time
-	// lapsedUntil is until when entries that are gone may only have lapsed.
+	// Supersedes, if set before use, reports whether value was written after other,
+	// by the counters that their writers put in them. It decides between a value from
+	// a backup and the value known before, where the store's revisions can't.
+	Supersedes func(key string, value, other []byte) bool
+
+	mu       sync.Mutex
+	records  map[string]record
+	revision revision.Revision // the store's revision up to which the catalog is complete
+	// removalFloor is the revision from which on all removals are known; a listing does
+	// not contain earlier ones. partial says that only a part of a listing was merged.
+	removalFloor revision.Revision
+	partial      bool
+	version      uint64
+	changed      chan struct{}
+	// eraBegan is when this process learned of the revision's era, zero for the first era.
+	eraBegan time.Time
+	// lastUpdate is when the store's state was last received, directly or relayed.
+	lastUpdate time.Time
+	// graceUntil is until when removed entries may only have expired.
 	//
-	// Endpoints live, but their entries lapsed while the
-	// store was away. It shows as refusals for want of endpoints right after its
-	// return. The guard holds because their entries count until they had time to
-	// come back; one that really is gone is avoided by its silence.
-	lapsedUntil time.Time
+	// The entries of live endpoints expire while the store is unavailable. They keep
+	// counting until their endpoints had time to register again; otherwise requests
+	// would be refused for lack of endpoints right after the store's return. Endpoints
+	// that are really gone are avoided because they send no reports.
+	graceUntil time.Time
 }
 
 // New returns an empty catalog.
 func New() *Catalog {
-	return &Catalog{slots: make(map[string]slot), changed: make(chan struct{}, 1)}
+	return &Catalog{records: make(map[string]record), changed: make(chan struct{}, 1)}
 }
 
-// Changed receives after one or more changes.
+// Changed returns a channel that receives a signal after one or more changes.
 func (c *Catalog) Changed() <-chan struct{} { return c.changed }
 
-// Revision returns the store's revision up to which everything is known.
+// Revision returns the store's revision up to which the catalog is complete.
 func (c *Catalog) Revision() revision.Revision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.read
+	return c.revision
 }
 
 // Get returns the entry of a key, unless it is unknown or removed.
 func (c *Catalog) Get(key string) (Entry, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s, ok := c.slots[key]
-	return s.Entry, ok && !s.Removed
+	r, ok := c.records[key]
+	return r.Entry, ok && !r.Removed
 }
 
-// Bytes returns the size of all values.
+// Bytes returns the total size of all values in bytes.
 func (c *Catalog) Bytes() (sum int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range c.slots {
-		sum += int64(len(s.Value))
+	for _, r := range c.records {
+		sum += int64(len(r.Value))
 	}
 	return sum
 }
 
-// Part adds a part of a listing, which says nothing of what it lacks, while nothing else is here.
+// Part merges a part of a listing into a catalog that has no complete state yet. Keys
+// that the part lacks are not removed.
 func (c *Catalog) Part(now time.Time, entries []Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.read.IsZero() {
+	if !c.revision.IsZero() {
 		return
 	}
 	c.partial = true
 	for _, e := range entries {
 		c.merge(now, e)
 	}
-	c.signal(len(entries) > 0)
+	c.notify(len(entries) > 0)
 }
 
-// Whole reports whether everything up to Revision is here.
+// Whole reports whether the catalog is complete up to Revision.
 func (c *Catalog) Whole() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.read.IsZero() && !c.partial
+	return !c.revision.IsZero() && !c.partial
 }
 
-// Partial reports whether a part of a listing is here that nobody completed yet.
+// Partial reports whether only a part of a listing was merged so far.
 func (c *Catalog) Partial() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,64 +172,65 @@
 }
 
 // Merge adds entries that bring the catalog up to the store's revision upTo.
-// It returns those that were news and matter.
+// It returns those that made a relevant change.
 func (c *Catalog) Merge(now time.Time, entries []Entry, upTo revision.Revision) []Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.returned(now)
-	if upTo.Era > c.read.Era && !c.read.IsZero() {
-		c.eraAt = now
-		c.lapsedUntil = now.Add(lapsedFor)
+	c.noteUpdate(now)
+	if upTo.Era > c.revision.Era && !c.revision.IsZero() {
+		c.eraBegan = now
+		c.graceUntil = now.Add(expiredGrace)
 	}
-	c.read = revision.Max(c.read, upTo)
-	var news []Entry
+	c.revision = revision.Max(c.revision, upTo)
+	var changes []Entry
 	for _, e := range entries {
 		if c.merge(now, e) {
-			news = append(news, e)
+			changes = append(changes, e)
 		}
 	}
-	gone := c.confirm(now)
-	c.forget(now)
-	c.signal(len(news) > 0 || gone)
-	return news
+	removed := c.removeUnconfirmed(now)
+	c.deleteTombstones(now)
+	c.notify(len(changes) > 0 || removed)
+	return changes
 }
 
-// merge takes an entry and reports whether it is news; c.mu is held.
+// merge adds an entry and reports whether it is a relevant change. The caller holds c.mu.
 func (c *Catalog) merge(now time.Time, e Entry) bool {
-	if e.Revision.Era < c.read.Era {
-		return false // that era is over
+	if e.Revision.Era < c.revision.Era {
+		return false // of a former era
 	}
-	old, known := c.slots[e.Key]
+	old, known := c.records[e.Key]
 	if known && e.Revision == old.Revision {
-		return c.mergeSame(now, old, e)
+		return c.mergeSameRevision(now, old, e)
 	}
 	if known && !e.Revision.After(old.Revision) {
 		return false
 	}
-	if known && c.copied(&old, e) {
-		c.slots[e.Key] = old.again(now, e)
+	if known && c.isRestored(&old, e) {
+		c.records[e.Key] = old.reconfirm(now, e)
 		return true
 	}
 	if since, same := c.unchanged(e); same {
-		changed := old.changed
+		changed := old.changedAt
 		if changed.Era < e.Revision.Era {
-			changed = e.Revision // others are still to hear that it is there in this era
+			changed = e.Revision // relay it, so that other processes know that it exists in this era
 		}
-		c.slots[e.Key] = slot{Entry: e, since: since, changed: changed}
+		c.records[e.Key] = record{Entry: e, learnedAt: since, changedAt: changed}
 		return false
 	}
-	next := slot{Entry: e, since: now, changed: e.Revision}
+	next := record{Entry: e, learnedAt: now, changedAt: e.Revision}
 	if e.Removed {
-		next.last, next.lapsedUntil = old.lastValue(), c.lapsedUntil
+		next.removedValue, next.graceUntil = old.lastValue(), c.graceUntil
 	}
-	c.slots[e.Key] = next
+	c.records[e.Key] = next
 	return true
 }
 
-// mergeSame takes an entry with the revision of the one that is here, and reports whether it is
-// news. They differ after a copy, in which the store has an older value than entries that kept
-// theirs; c.mu is held.
-func (c *Catalog) mergeSame(now time.Time, old slot, e Entry) bool {
+// mergeSameRevision merges an entry that has the revision of the known one, and reports
+// whether it is a relevant change. The two differ after the store was restored from a
+// backup, where it has an older value than processes that kept theirs. The caller holds
+// c.mu.
+func (c *Catalog) mergeSameRevision(now time.Time, old record, e Entry) bool {
 	if c.Supersedes == nil || old.Removed || e.Removed || bytes.Equal(old.Value, e.Value) {
 		return false
 	}
@@ -235,20 +239,20 @@
 	case newer == older:
 		return false
 	case newer:
-		old.Value, old.since = e.Value, now
+		old.Value, old.learnedAt = e.Value, now
 	}
-	old.kept = true
-	c.slots[e.Key] = old
+	old.supersedesStore = true
+	c.records[e.Key] = old
 	return newer
 }
 
-// copied reports whether an entry is what a copy of the store held, and a later one was known;
-// c.mu is held.
+// isRestored reports whether e comes from a backup of the store and is not newer than the
+// value known before. The caller holds c.mu.
 //
-// The store comes back from a copy, in which an endpoint that said that it leaves is ready, or
-// the configuration is an older one. It shows as requests to that endpoint, and as a
-// configuration that reverts. The guard holds because writers count what they write.
-func (c *Catalog) copied(old *slot, e Entry) bool {
+// Writers count their writes, so that values of different eras can be compared. Otherwise
+// a restored store would send requests to an endpoint that had begun to drain after the
+// backup, and would revert the configuration to an older one.
+func (c *Catalog) isRestored(old *record, e Entry) bool {
 	if e.Removed || e.Revision.Era == old.Revision.Era || c.Supersedes == nil {
 		return false
 	}
@@ -256,84 +260,87 @@
 	return len(last) > 0 && !c.Supersedes(e.Key, e.Value, last)
 }
 
-// again returns the slot of an entry that a copy holds as it was before. One that was removed
-// meanwhile counts as removed for as long as an endpoint that is gone may stay listed.
-func (s slot) again(now time.Time, e Entry) slot {
-	if s.Removed {
-		return slot{Entry: e, doubtUntil: now.Add(doubtFor), since: now, changed: e.Revision}
+// reconfirm returns the record of a known entry of which a restored store has an older
+// value or the same. An entry that was removed after the backup counts as removed for as
+// long as the store may list an endpoint that is gone.
+func (r record) reconfirm(now time.Time, e Entry) record {
+	if r.Removed {
+		return record{Entry: e, suppressUntil: now.Add(restoredSuppression), learnedAt: now, changedAt: e.Revision}
 	}
-	s.Revision, s.changed, s.kept = e.Revision, e.Revision, true
-	return s
+	r.Revision, r.changedAt, r.supersedesStore = e.Revision, e.Revision, true
+	return r
 }
 
-// confirm removes the entries of an era that is over which nobody named in the new one in
-// time; c.mu is held.
-func (c *Catalog) confirm(now time.Time) (gone bool) {
-	if c.eraAt.IsZero() || now.Sub(c.eraAt) < confirmFor {
+// removeUnconfirmed removes the entries of a former era that were not listed in the new
+// era in time, and reports whether there were any. The caller holds c.mu.
+func (c *Catalog) removeUnconfirmed(now time.Time) (removed bool) {
+	if c.eraBegan.IsZero() || now.Sub(c.eraBegan) < eraConfirmTimeout {
 		return false
 	}
-	c.eraAt = time.Time{}
-	for key, s := range c.slots {
-		if s.Revision.Era < c.read.Era {
-			c.slots[key] = slot{Entry: Entry{Key: key, Revision: c.read, Removed: true}, last: s.lastValue(), since: now, changed: c.read}
-			gone = true
+	c.eraBegan = time.Time{}
+	for key, r := range c.records {
+		if r.Revision.Era < c.revision.Era {
+			c.records[key] = record{Entry: Entry{Key: key, Revision: c.revision, Removed: true}, removedValue: r.lastValue(), learnedAt: now, changedAt: c.revision}
+			removed = true
 		}
 	}
-	return gone
+	return removed
 }
 
-// returned notes that the store's state came here; c.mu is held.
-func (c *Catalog) returned(now time.Time) {
-	if !c.heard.IsZero() && now.Sub(c.heard) >= outage {
-		c.lapsedUntil = now.Add(lapsedFor)
+// noteUpdate records that the store's state was received. The caller holds c.mu.
+func (c *Catalog) noteUpdate(now time.Time) {
+	if !c.lastUpdate.IsZero() && now.Sub(c.lastUpdate) >= outageThreshold {
+		c.graceUntil = now.Add(expiredGrace)
 	}
-	c.heard = now
+	c.lastUpdate = now
 }
 
-// unchanged reports whether an entry brings nothing that matters, and since when it is known;
-// c.mu is held.
+// unchanged reports whether an entry differs from the known one in nothing relevant, and
+// when the known one was received. The caller holds c.mu.
 func (c *Catalog) unchanged(e Entry) (since time.Time, same bool) {
-	old, ok := c.slots[e.Key]
+	old, ok := c.records[e.Key]
 	if !ok || c.Same == nil || old.Removed || e.Removed || !c.Same(old.Value, e.Value) {
 		return time.Time{}, false
 	}
-	return old.since, true
+	return old.learnedAt, true
 }
 
-// Replace merges a full listing taken at revision upTo: keys that it lacks and
-// that have not changed since are gone.
+// Replace merges a complete listing taken at revision upTo. Keys that it lacks are
+// removed, unless they changed after upTo.
 func (c *Catalog) Replace(now time.Time, entries []Entry, upTo revision.Revision) []Entry {
 	listed := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		listed[e.Key] = true
 	}
-	return c.Merge(now, append(c.keep(listed, upTo), entries...), upTo)
+	return c.Merge(now, append(c.removalsExcept(listed, upTo), entries...), upTo)
 }
 
-// Keep removes the keys that another process does not have, which knows all up to a revision.
+// Keep removes all keys but the given ones, unless they changed after upTo. The keys are
+// those of another process that is complete up to that revision.
 func (c *Catalog) Keep(now time.Time, keys []string, upTo revision.Revision) []Entry {
 	has := make(map[string]bool, len(keys))
 	for _, key := range keys {
 		has[key] = true
 	}
-	return c.Merge(now, c.keep(has, upTo), revision.Revision{})
+	return c.Merge(now, c.removalsExcept(has, upTo), revision.Revision{})
 }
 
-// keep returns the removals of all keys but some that have not changed since a revision.
-func (c *Catalog) keep(keys map[string]bool, upTo revision.Revision) (gone []Entry) {
+// removalsExcept returns removals, at revision upTo, of all keys that are not in keys and
+// did not change after upTo.
+func (c *Catalog) removalsExcept(keys map[string]bool, upTo revision.Revision) (removals []Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.floor, c.partial = revision.Max(c.floor, upTo), false
-	for key, s := range c.slots {
-		if !keys[key] && !s.Removed && !s.Revision.After(upTo) {
-			gone = append(gone, Entry{Key: key, Revision: upTo, Removed: true})
+	c.removalFloor, c.partial = revision.Max(c.removalFloor, upTo), false
+	for key, r := range c.records {
+		if !keys[key] && !r.Removed && !r.Revision.After(upTo) {
+			removals = append(removals, Entry{Key: key, Revision: upTo, Removed: true})
 		}
 	}
-	return gone
+	return removals
 }
 
-func (c *Catalog) signal(news bool) {
-	if !news {
+func (c *Catalog) notify(changed bool) {
+	if !changed {
 		return
 	}
 	c.version++
@@ -343,114 +350,114 @@
 	}
 }
 
-func (c *Catalog) forget(now time.Time) {
-	for key, s := range c.slots {
-		if s.Removed && now.Sub(s.since) > tombstoneLife {
-			delete(c.slots, key)
+func (c *Catalog) deleteTombstones(now time.Time) {
+	for key, r := range c.records {
+		if r.Removed && now.Sub(r.learnedAt) > tombstoneTTL {
+			delete(c.records, key)
 		}
 	}
 }
 
-// sinceMost bounds the entries of one answer of Since: some 50 kB.
-const sinceMost = 256
+// maxBatch is the number of entries in one result of Since or Kept: some 50 kB.
+const maxBatch = 256
 
-// Since returns entries that changed in what matters after a revision, the
-// oldest changes first and removals included, and the revision up to which they
-// are all. Where removals before a listing are not known, keys are all that there are.
+// Since returns the entries with a relevant change after a revision, removals included
+// and the oldest changes first, and the revision up to which they are complete. If
+// removals between the two revisions may be unknown, because they preceded a listing,
+// keys are the keys of all present entries, to be passed to Keep.
 //
-// A hundred processes start together and ask the one
-// that reads the platform for thousands of entries each. It shows as a process
-// that runs out of memory with copies of them. The guard holds because each
-// answer is bounded and the next question goes on behind it.
+// The number of entries is bounded, and the caller continues from upTo. Otherwise a
+// hundred processes that start together and request thousands of entries each would
+// exhaust the memory of the process that reads the store.
 func (c *Catalog) Since(after revision.Revision) (entries []Entry, upTo revision.Revision, keys []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var news []slot
-	for _, s := range c.slots {
-		if s.changed.After(after) && s.Revision.Era == c.read.Era {
-			news = append(news, s)
+	var changes []record
+	for _, r := range c.records {
+		if r.changedAt.After(after) && r.Revision.Era == c.revision.Era {
+			changes = append(changes, r)
 		}
 	}
-	slices.SortFunc(news, func(a, b slot) int { return a.changed.Compare(b.changed) })
-	upTo = c.read
-	if len(news) > sinceMost {
-		news = news[:cutAt(news, sinceMost)]
-		upTo = news[len(news)-1].changed
+	slices.SortFunc(changes, func(a, b record) int { return a.changedAt.Compare(b.changedAt) })
+	upTo = c.revision
+	if len(changes) > maxBatch {
+		changes = changes[:batchEnd(changes, maxBatch)]
+		upTo = changes[len(changes)-1].changedAt
 	}
-	for _, s := range news {
-		entries = append(entries, s.Entry)
+	for _, r := range changes {
+		entries = append(entries, r.Entry)
 	}
-	if c.floor.After(after) && !c.floor.After(upTo) {
+	if c.removalFloor.After(after) && !c.removalFloor.After(upTo) {
 		keys = c.keys()
 	}
 	return entries, upTo, keys
 }
 
-// Kept returns some of the entries whose values were written after those that the store has at
-// the same revisions since it came back from a copy.
+// Kept returns entries whose values are newer than those that the store has at the same
+// revisions since it was restored from a backup, at most maxBatch of them.
 func (c *Catalog) Kept() (entries []Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range c.slots {
-		if s.kept && len(entries) < sinceMost {
-			entries = append(entries, s.Entry)
+	for _, r := range c.records {
+		if r.supersedesStore && len(entries) < maxBatch {
+			entries = append(entries, r.Entry)
 		}
 	}
 	return entries
 }
 
-// keys returns the keys of all entries; c.mu is held.
+// keys returns the keys of all present entries. The caller holds c.mu.
 func (c *Catalog) keys() []string {
-	keys := make([]string, 0, len(c.slots))
-	for key, s := range c.slots {
-		if !s.Removed {
+	keys := make([]string, 0, len(c.records))
+	for key, r := range c.records {
+		if !r.Removed {
 			keys = append(keys, key)
 		}
 	}
 	return keys
 }
 
-// cutAt returns how many of the news to hand on, about most: those of one
-// revision, such as the keys that a listing lacked, stay together.
-func cutAt(news []slot, most int) int {
-	for most < len(news) && news[most].changed == news[most-1].changed {
-		most++
+// batchEnd returns the length of the first batch of changes: size, or more if needed to
+// keep changes of one revision together, such as the removals by a listing.
+func batchEnd(changes []record, size int) int {
+	for size < len(changes) && changes[size].changedAt == changes[size-1].changedAt {
+		size++
 	}
-	return most
+	return size
 }
 
-// Known is an entry with the time since which this process knows it.
+// Known is an entry with the time at which this process received its value.
 type Known struct {
 	Entry
 	Since time.Time
-	// Changed is the revision of the last change that matters.
+	// Changed is the revision of the last relevant change.
 	Changed revision.Revision
 }
 
-// All returns every entry, removals included. Entries that may only have
-// lapsed are not yet removed, and those of a copy that were removed before are not yet back;
-// until then is when that changes next, zero if there are none.
+// All returns every entry, removals included. Entries that may only have expired count
+// as present, and those from a backup that had been removed before as removed; until is
+// when the next of them changes, zero if there are none.
 func (c *Catalog) All(now time.Time) (list []Known, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list = make([]Known, 0, len(c.slots))
-	for _, s := range c.slots {
-		k := Known{Entry: s.Entry, Since: s.since, Changed: s.changed}
+	list = make([]Known, 0, len(c.records))
+	for _, r := range c.records {
+		k := Known{Entry: r.Entry, Since: r.learnedAt, Changed: r.changedAt}
 		switch {
-		case len(s.last) > 0 && now.Before(s.lapsedUntil):
-			k.Value, k.Removed = s.last, false
-			until = soonest(until, s.lapsedUntil)
-		case now.Before(s.doubtUntil):
+		case len(r.removedValue) > 0 && now.Before(r.graceUntil):
+			k.Value, k.Removed = r.removedValue, false
+			until = earliest(until, r.graceUntil)
+		case now.Before(r.suppressUntil):
 			k.Value, k.Removed = nil, true
-			until = soonest(until, s.doubtUntil)
+			until = earliest(until, r.suppressUntil)
 		}
 		list = append(list, k)
 	}
 	return list, until
 }
 
-// soonest returns the earlier of two times, a zero one counting as none.
-func soonest(a, b time.Time) time.Time {
+// earliest returns the earlier of a and b, or b if a is zero.
+func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
 	}
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -12,8 +12,8 @@
 	"ebonypulley/revision"
 )
 
-// at is a revision of the store's first era.
-func at(count uint64) revision.Revision { return revision.Revision{Count: count} }
+// firstEra is a revision of the store's first era.
+func firstEra(count uint64) revision.Revision { return revision.Revision{Count: count} }
 
 func entries(c *catalog.Catalog) map[string]catalog.Entry { return entriesAt(c, time.Unix(100, 0)) }
 
@@ -26,8 +26,8 @@
 	return out
 }
 
-// TestMergeInAnyOrder: two entries disagree for ever about the configuration.
-// They heard the same changes in another order, some of them twice.
+// TestMergeInAnyOrder: two processes that receive the same changes in different orders,
+// some of them twice, must not end with different configurations.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
@@ -35,12 +35,12 @@
 		for rev := range uint64(rapid.IntRange(1, 20).Draw(t, "changes")) {
 			all = append(all, catalog.Entry{
 				Key:      rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key"),
-				Revision: at(rev + 1),
+				Revision: firstEra(rev + 1),
 				Removed:  rapid.Bool().Draw(t, "removed"),
 			})
 		}
 		one, other := catalog.New(), catalog.New()
-		one.Merge(now, all, at(uint64(len(all))))
+		one.Merge(now, all, firstEra(uint64(len(all))))
 		shuffled := rapid.Permutation(append(all, all...)).Draw(t, "order")
 		for _, e := range shuffled {
 			other.Merge(now, []catalog.Entry{e}, e.Revision)
@@ -50,27 +50,27 @@
 	})
 }
 
-// TestNeverBack: a configuration reverts. A stale reader hands on an older
-// revision, or a value whose removal is known.
-func TestNeverBack(t *testing.T) {
+// TestOlderRevisionIsIgnored: a process with stale state relays an older revision, or a
+// value whose removal is known, and the configuration would revert.
+func TestOlderRevisionIsIgnored(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := catalog.New()
-	c.Merge(now, []catalog.Entry{{Key: "k", Revision: at(7), Value: []byte("new")}, {Key: "gone", Revision: at(8), Removed: true}}, at(8))
-	news := c.Merge(now, []catalog.Entry{{Key: "k", Revision: at(5), Value: []byte("old")}, {Key: "gone", Revision: at(6)}}, at(6))
-	assert.Empty(t, news)
+	c.Merge(now, []catalog.Entry{{Key: "k", Revision: firstEra(7), Value: []byte("new")}, {Key: "gone", Revision: firstEra(8), Removed: true}}, firstEra(8))
+	changes := c.Merge(now, []catalog.Entry{{Key: "k", Revision: firstEra(5), Value: []byte("old")}, {Key: "gone", Revision: firstEra(6)}}, firstEra(6))
+	assert.Empty(t, changes)
 	assert.Equal(t, "new", string(entries(c)["k"].Value))
 	assert.True(t, entries(c)["gone"].Removed)
-	assert.Equal(t, at(8), c.Revision())
+	assert.Equal(t, firstEra(8), c.Revision())
 }
 
-// TestReplace: a worker that left stays in use. The store dropped its history,
-// so that only a listing tells what is gone; what is newer than the listing
-// stays.
+// TestReplace: the store has compacted its history, so that only a listing shows which
+// keys were removed; otherwise a removed worker would stay in use. Entries newer than
+// the listing remain.
 func TestReplace(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := catalog.New()
-	c.Merge(now, []catalog.Entry{{Key: "old", Revision: at(1)}, {Key: "kept", Revision: at(2)}, {Key: "newer", Revision: at(9)}}, at(9))
-	c.Replace(now, []catalog.Entry{{Key: "kept", Revision: at(2)}}, at(5))
+	c.Merge(now, []catalog.Entry{{Key: "old", Revision: firstEra(1)}, {Key: "kept", Revision: firstEra(2)}, {Key: "newer", Revision: firstEra(9)}}, firstEra(9))
+	c.Replace(now, []catalog.Entry{{Key: "kept", Revision: firstEra(2)}}, firstEra(5))
 	assert.True(t, entries(c)["old"].Removed)
 	assert.False(t, entries(c)["kept"].Removed)
 	assert.False(t, entries(c)["newer"].Removed)
@@ -79,38 +79,38 @@
 func TestSince(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := catalog.New()
-	c.Merge(now, []catalog.Entry{{Key: "a", Revision: at(3)}, {Key: "b", Revision: at(6), Removed: true}}, at(7))
-	got, upTo, _ := c.Since(at(3))
-	assert.Equal(t, []catalog.Entry{{Key: "b", Revision: at(6), Removed: true}}, got)
-	assert.Equal(t, at(7), upTo)
+	c.Merge(now, []catalog.Entry{{Key: "a", Revision: firstEra(3)}, {Key: "b", Revision: firstEra(6), Removed: true}}, firstEra(7))
+	got, upTo, _ := c.Since(firstEra(3))
+	assert.Equal(t, []catalog.Entry{{Key: "b", Revision: firstEra(6), Removed: true}}, got)
+	assert.Equal(t, firstEra(7), upTo)
 }
 
-// TestHeartbeatsAreNoNews: the network of each entry fills with the heartbeats
-// of thousands of workers, which change a counter only.
-func TestHeartbeatsAreNoNews(t *testing.T) {
+// TestHeartbeatsAreNotChanges: heartbeats of thousands of workers, which only change a
+// counter, must not be relayed, because they would fill the network of each entry.
+func TestHeartbeatsAreNotChanges(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := catalog.New()
 	c.Same = func(a, b []byte) bool { return a[0] == b[0] }
-	c.Merge(now, []catalog.Entry{{Key: "k", Revision: at(1), Value: []byte("a1")}}, at(1))
-	assert.Empty(t, c.Merge(now, []catalog.Entry{{Key: "k", Revision: at(2), Value: []byte("a2")}}, at(2)))
-	news, upTo, _ := c.Since(at(1))
-	assert.Empty(t, news)
-	assert.Equal(t, at(2), upTo)
-	assert.Len(t, c.Merge(now, []catalog.Entry{{Key: "k", Revision: at(3), Value: []byte("b3")}}, at(3)), 1)
-	assert.Len(t, c.Merge(now, []catalog.Entry{{Key: "k", Revision: at(4), Removed: true}}, at(4)), 1)
+	c.Merge(now, []catalog.Entry{{Key: "k", Revision: firstEra(1), Value: []byte("a1")}}, firstEra(1))
+	assert.Empty(t, c.Merge(now, []catalog.Entry{{Key: "k", Revision: firstEra(2), Value: []byte("a2")}}, firstEra(2)))
+	changes, upTo, _ := c.Since(firstEra(1))
+	assert.Empty(t, changes)
+	assert.Equal(t, firstEra(2), upTo)
+	assert.Len(t, c.Merge(now, []catalog.Entry{{Key: "k", Revision: firstEra(3), Value: []byte("b3")}}, firstEra(3)), 1)
+	assert.Len(t, c.Merge(now, []catalog.Entry{{Key: "k", Revision: firstEra(4), Removed: true}}, firstEra(4)), 1)
 }
 
-// TestLapsedEntriesComeBack: callers are refused for want of endpoints right
-// after the store's return. Entries lapsed while it was away and their
-// endpoints live; they count for as long as they may take to be listed again.
-// What is removed while the store is there is gone at once.
-func TestLapsedEntriesComeBack(t *testing.T) {
-	for _, away := range []time.Duration{time.Second, 5 * time.Second} {
+// TestExpiredEntriesCountAfterOutage: entries of live endpoints expire while the store is
+// unavailable. They count until their endpoints had time to register again; otherwise
+// requests would be refused for lack of endpoints right after the store's return. An
+// entry that is removed while the store is available is removed at once.
+func TestExpiredEntriesCountAfterOutage(t *testing.T) {
+	for _, outage := range []time.Duration{time.Second, 5 * time.Second} {
 		c := catalog.New()
 		now := time.Unix(100, 0)
-		c.Merge(now, []catalog.Entry{{Key: "lives", Value: []byte("v"), Revision: at(1)}, {Key: "gone", Value: []byte("v"), Revision: at(2)}}, at(2))
-		now = now.Add(away)
-		c.Merge(now, []catalog.Entry{{Key: "lives", Revision: at(3), Removed: true}, {Key: "gone", Revision: at(4), Removed: true}}, at(4))
+		c.Merge(now, []catalog.Entry{{Key: "lives", Value: []byte("v"), Revision: firstEra(1)}, {Key: "gone", Value: []byte("v"), Revision: firstEra(2)}}, firstEra(2))
+		now = now.Add(outage)
+		c.Merge(now, []catalog.Entry{{Key: "lives", Revision: firstEra(3), Removed: true}, {Key: "gone", Revision: firstEra(4), Removed: true}}, firstEra(4))
 		removed := func() (n int) {
 			list, _ := c.All(now)
 			for _, k := range list {
@@ -120,31 +120,31 @@
 			}
 			return n
 		}
-		if away < 3*time.Second {
+		if outage < 3*time.Second {
 			assert.Equal(t, 2, removed())
 			continue
 		}
 		assert.Zero(t, removed())
 		now = now.Add(time.Second)
-		c.Merge(now, []catalog.Entry{{Key: "lives", Value: []byte("v"), Revision: at(5)}}, at(5))
+		c.Merge(now, []catalog.Entry{{Key: "lives", Value: []byte("v"), Revision: firstEra(5)}}, firstEra(5))
 		_, until := c.All(now)
 		assert.True(t, until.After(now))
 		now = until
-		assert.Equal(t, 1, removed(), "the one that did not come back")
+		assert.Equal(t, 1, removed(), "the entry that was not listed again")
 	}
 }
 
-// TestSinceIsBounded: an entry runs out of memory. Others started together and
-// ask it for thousands of entries; each gets them in parts, and has all of them
-// in the end.
+// TestSinceIsBounded: many processes that start together request thousands of entries
+// from one process, which would run out of memory. Each gets them in batches, and all
+// of them in the end.
 func TestSinceIsBounded(t *testing.T) {
 	const keys = 1000
 	now := time.Unix(100, 0)
 	full, other := catalog.New(), catalog.New()
 	for rev := range uint64(keys) {
-		full.Merge(now, []catalog.Entry{{Key: strconv.FormatUint(rev, 10), Revision: at(rev + 1)}}, at(rev+1))
+		full.Merge(now, []catalog.Entry{{Key: strconv.FormatUint(rev, 10), Revision: firstEra(rev + 1)}}, firstEra(rev+1))
 	}
-	full.Merge(now, []catalog.Entry{{Key: "0", Revision: at(keys + 1)}}, at(keys+1))
+	full.Merge(now, []catalog.Entry{{Key: "0", Revision: firstEra(keys + 1)}}, firstEra(keys+1))
 	rounds := 0
 	for full.Revision().After(other.Revision()) {
 		part, upTo, _ := full.Since(other.Revision())
@@ -156,16 +156,16 @@
 	assert.Equal(t, 4, rounds)
 }
 
-// TestGoneStaysGoneInASecondOutage: an endpoint whose entry lapsed in an outage did not come back.
-// The store is away once more, and requests go to the endpoint again.
-func TestGoneStaysGoneInASecondOutage(t *testing.T) {
+// TestRemovedEntryStaysRemovedInSecondOutage: an endpoint whose entry expired in an outage
+// did not register again. In a second outage it must not receive requests.
+func TestRemovedEntryStaysRemovedInSecondOutage(t *testing.T) {
 	c := catalog.New()
 	now := time.Unix(100, 0)
-	c.Merge(now, []catalog.Entry{{Key: "gone", Value: []byte("v"), Revision: at(1)}}, at(1))
+	c.Merge(now, []catalog.Entry{{Key: "gone", Value: []byte("v"), Revision: firstEra(1)}}, firstEra(1))
 	now = now.Add(5 * time.Second)
-	c.Merge(now, []catalog.Entry{{Key: "gone", Revision: at(2), Removed: true}}, at(2))
-	assert.False(t, entriesAt(c, now)["gone"].Removed, "it may only have lapsed")
+	c.Merge(now, []catalog.Entry{{Key: "gone", Revision: firstEra(2), Removed: true}}, firstEra(2))
+	assert.False(t, entriesAt(c, now)["gone"].Removed, "it may only have expired")
 	now = now.Add(5 * time.Second)
-	c.Merge(now, nil, at(3))
+	c.Merge(now, nil, firstEra(3))
 	assert.True(t, entriesAt(c, now)["gone"].Removed)
 }
--- a/catalog/floor_test.go
+++ b/catalog/floor_test.go
@@ -13,17 +13,17 @@
 	"ebonypulley/revision"
 )
 
-// listedStore is a store with all states that it ever had, by its count.
-type listedStore struct {
+// historyStore is a store that keeps its state at each revision count.
+type historyStore struct {
 	states []map[string]uint64
 }
 
-func (s *listedStore) count() uint64 { return uint64(len(s.states) - 1) }
+func (s *historyStore) count() uint64 { return uint64(len(s.states) - 1) }
 
-func (s *listedStore) now() map[string]uint64 { return s.states[len(s.states)-1] }
+func (s *historyStore) now() map[string]uint64 { return s.states[len(s.states)-1] }
 
 // change writes a key, or removes it.
-func (s *listedStore) change(key string, removed bool) {
+func (s *historyStore) change(key string, removed bool) {
 	next := maps.Clone(s.now())
 	s.states = append(s.states, next)
 	next[key] = s.count()
@@ -33,15 +33,15 @@
 }
 
 // listing returns the entries of the store at a count.
-func (s *listedStore) listing(count uint64) (list []catalog.Entry) {
+func (s *historyStore) listing(count uint64) (list []catalog.Entry) {
 	for key, changed := range s.states[count] {
 		list = append(list, catalog.Entry{Key: key, Value: []byte(fmt.Sprint(changed)), Revision: revision.Revision{Count: changed}})
 	}
 	return list
 }
 
-// tell hands on to a process what another one knows, in one answer.
-func tell(now time.Time, to, from *catalog.Catalog) {
+// relay merges one batch of changes from another process.
+func relay(now time.Time, to, from *catalog.Catalog) {
 	at := from.Revision()
 	if !at.After(to.Revision()) {
 		return
@@ -53,11 +53,11 @@
 	}
 }
 
-// TestEveryoneKnowsWhatIsGone: processes start, list the store or a part of it and tell each other
-// in any order, and one of them goes on using what is gone, or misses what is there.
-func TestEveryoneKnowsWhatIsGone(t *testing.T) {
+// TestRemovalsReachAllProcesses: processes start, list the store or a part of it and relay
+// changes in any order. None may keep a removed entry or lack a present one.
+func TestRemovalsReachAllProcesses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := &listedStore{states: []map[string]uint64{{}}}
+		store := &historyStore{states: []map[string]uint64{{}}}
 		store.change("a", false)
 		now := time.Unix(1000, 0)
 		processes := make([]*catalog.Catalog, 4)
@@ -79,26 +79,26 @@
 				list := store.listing(store.count())
 				processes[i].Part(now, list[:len(list)/2])
 			case 4:
-				tell(now, processes[i], processes[anyOf.Draw(t, "teller")])
+				relay(now, processes[i], processes[anyOf.Draw(t, "source")])
 			case 5:
 				processes[i] = catalog.New()
 			}
 			for n, c := range processes {
 				if c.Whole() {
-					knowsExactly(t, c, store, n)
+					checkMatchesStore(t, c, store, n)
 				}
 			}
 		}
 	})
 }
 
-// knowsExactly compares what a process knows with the state of the store at its revision.
-func knowsExactly(t *rapid.T, c *catalog.Catalog, store *listedStore, process int) {
+// checkMatchesStore compares a process's catalog with the state of the store at its revision.
+func checkMatchesStore(t *rapid.T, c *catalog.Catalog, store *historyStore, process int) {
 	want := store.states[c.Revision().Count]
 	for _, key := range []string{"a", "b", "c", "d"} {
 		e, ok := c.Get(key)
 		if ok && e.Revision.After(c.Revision()) {
-			continue // newer than all that is known
+			continue // newer than the catalog's complete state
 		}
 		changed, there := want[key]
 		assert.Equal(t, there, ok, "%s at process %d", key, process)
@@ -108,9 +108,10 @@
 	}
 }
 
-// TestPartIsNotWhole: a process that has a part of a listing takes what an entry of an earlier
-// version tells for all, and keeps what was removed in between.
-func TestPartIsNotWhole(t *testing.T) {
+// TestPartialListingIsNotComplete: a process that has a part of a listing must not take the
+// changes from a process of an earlier version for the complete state, because it would
+// keep entries that were removed in between.
+func TestPartialListingIsNotComplete(t *testing.T) {
 	at := func(n uint64) revision.Revision { return revision.Revision{Count: n} }
 	now := time.Unix(1000, 0)
 	c := catalog.New()
