--- a/config/ask.go
+++ b/config/ask.go
@@ -5,43 +5,42 @@
 	"time"
 )
 
-// askPatience is how long a peer that was asked for its document has before
-// another one is asked: half again what 1 MB takes on a link of 10 Mbit/s that
-// requests use too, and little enough for a second question within the 5 s in
-// which a document is to be in force.
-const askPatience = 1500 * time.Millisecond
+// fetchTimeout is how long a peer has to send its document before another peer
+// is asked: 1.5 times what 1 MB takes on a link of 10 Mbit/s that also carries
+// requests, and short enough for a second attempt within the 5 s in which a
+// published document must be applied.
+const fetchTimeout = 1500 * time.Millisecond
 
-// Ask decides which peer is asked for a newer document that it says to have. It
-// is safe for concurrent use; the zero value is ready.
+// Ask decides which peer to ask for a newer document that it advertises. It is
+// safe for concurrent use; the zero value is ready.
 //
-// A process that is behind gets the same large document
-// from each of its peers at once, and the copies share its link. It shows as a
-// document that comes into force late on VMs with narrow links. The guard holds
-// because one peer is asked at a time.
+// One peer is asked at a time. Otherwise a process with an old document would
+// receive the same large one from each of its peers at once, the transfers would
+// share its link, and VMs with narrow links would apply the document late.
 type Ask struct {
 	mu sync.Mutex
-	// peer is the one that was asked at a time, nil for nobody; wanted is the
-	// version that it said to have.
-	peer   any
-	at     time.Time
-	wanted Version
-	// refused is a version that came and can't be put in force here.
-	refused Version
+	// peer is the peer that was asked, nil for none, startedAt when it was asked
+	// and requested the version that it advertised.
+	peer      any
+	startedAt time.Time
+	requested Version
+	// rejected is a version that was received and found invalid.
+	rejected Version
 }
 
 // Begin reports whether to ask a peer, identified by any comparable value, for
-// the version that it has.
-func (a *Ask) Begin(now time.Time, peer any, theirs Version) bool {
+// the version that it advertises.
+func (a *Ask) Begin(now time.Time, peer any, advertised Version) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if theirs == a.refused || a.peer != nil && now.Sub(a.at) < askPatience {
+	if advertised == a.rejected || a.peer != nil && now.Sub(a.startedAt) < fetchTimeout {
 		return false
 	}
-	a.peer, a.at, a.wanted = peer, now, theirs
+	a.peer, a.startedAt, a.requested = peer, now, advertised
 	return true
 }
 
-// Came records what became of the document that a peer sent.
+// Came records the verdict on the document that a peer sent.
 func (a *Ask) Came(peer any, verdict Verdict) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -50,11 +49,11 @@
 	}
 	a.peer = nil
 	if verdict == Invalid {
-		a.refused = a.wanted
+		a.rejected = a.requested
 	}
 }
 
-// Lost records that the connection to a peer has ended.
+// Lost records that the connection to a peer was closed.
 func (a *Ask) Lost(peer any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/config/ask_test.go
+++ b/config/ask_test.go
@@ -9,10 +9,10 @@
 	"ebonypulley/config"
 )
 
-// TestAsk: a document of an hour ago stays in force because the one peer that was
-// asked for the new one is gone. The next one is asked when its connection ends,
-// or after a while; a document that can't be put in force here is asked for once.
-func TestAsk(t *testing.T) {
+// TestDocumentFetches: the peer that was asked for a new document is gone, and the old
+// document would stay current. Another peer is asked when the connection is closed, or
+// after a timeout. A version that was found invalid is not requested again.
+func TestDocumentFetches(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	next := config.Version{Generation: 2}
--- a/config/check.go
+++ b/config/check.go
@@ -10,8 +10,8 @@
 	"ebonypulley/jsonc"
 )
 
-// Parse reads and checks a document. With Error findings the document must
-// not be used; it is nil when the text does not even have the right shape.
+// Parse decodes and validates a document. With Error findings the document must
+// not be used; it is nil if the text could not be decoded.
 func Parse(file string, text []byte) (*Document, jsonc.Findings) {
 	doc := new(Document)
 	src, findings := jsonc.Decode(file, text, doc)
@@ -25,6 +25,7 @@
 	return doc, c.findings
 }
 
+// checker validates a decoded document.
 type checker struct {
 	src      *jsonc.Source
 	doc      *Document
@@ -51,8 +52,8 @@
 	c.routes()
 }
 
-// names reports empty and repeated names of a list.
-func (c *checker) names(list string, n int, name func(int) string) {
+// uniqueNames reports empty and duplicate names in a list.
+func (c *checker) uniqueNames(list string, n int, name func(int) string) {
 	first := make(map[string]int, n)
 	for i := range n {
 		path := fmt.Sprintf("/%s/%d/name", list, i)
@@ -62,18 +63,18 @@
 			continue
 		}
 		if at, dup := first[s]; dup {
-			place := c.src.Position(fmt.Sprintf("/%s/%d/name", list, at))
-			c.report(path, "%s: name %q is already used at line %d", list, s, place.Line)
+			pos := c.src.Position(fmt.Sprintf("/%s/%d/name", list, at))
+			c.report(path, "%s: name %q is already used at line %d", list, s, pos.Line)
 			continue
 		}
 		first[s] = i
 	}
 }
 
-// reference reports a value that names nothing in the list it refers to.
-func (c *checker) reference(path, what, value string, known bool) {
-	if !known {
-		c.report(path, "%s %q is not declared", what, value)
+// reference reports a reference to a name that is not declared.
+func (c *checker) reference(path, kind, name string, declared bool) {
+	if !declared {
+		c.report(path, "%s %q is not declared", kind, name)
 	}
 }
 
@@ -92,7 +93,7 @@
 		c.report("/limits/lease_ttl", "lease_ttl must be at least %s, three heartbeats", minLeaseTTL)
 	}
 	if l.RetryRatio < 0 || l.RetryRatio > 1 {
-		c.report("/limits/retry_ratio", "retry_ratio must lie between 0 and 1")
+		c.report("/limits/retry_ratio", "retry_ratio must be between 0 and 1")
 	}
 	if l.IdempotencyWindow < 0 {
 		c.report("/limits/idempotency_window", "idempotency_window must not be negative")
@@ -101,9 +102,9 @@
 
 func (c *checker) dataCentres() {
 	if len(c.doc.DataCentres) == 0 {
-		c.report("/data_centres", "at least one data centre is needed")
+		c.report("/data_centres", "at least one data centre is required")
 	}
-	c.names("data_centres", len(c.doc.DataCentres), func(i int) string { return c.doc.DataCentres[i].Name })
+	c.uniqueNames("data_centres", len(c.doc.DataCentres), func(i int) string { return c.doc.DataCentres[i].Name })
 }
 
 func (c *checker) hasDataCentre(name string) bool {
@@ -122,7 +123,7 @@
 }
 
 func (c *checker) tiers() {
-	c.names("tiers", len(c.doc.Tiers), func(i int) string { return c.doc.Tiers[i].Name })
+	c.uniqueNames("tiers", len(c.doc.Tiers), func(i int) string { return c.doc.Tiers[i].Name })
 	for i, t := range c.doc.Tiers {
 		if t.MaxWait < 0 {
 			c.report(fmt.Sprintf("/tiers/%d/max_wait", i), "max_wait must not be negative")
@@ -136,7 +137,7 @@
 		tiers[t.Name] = true
 	}
 	keys := make(map[string]string)
-	c.names("workspaces", len(c.doc.Workspaces), func(i int) string { return c.doc.Workspaces[i].Name })
+	c.uniqueNames("workspaces", len(c.doc.Workspaces), func(i int) string { return c.doc.Workspaces[i].Name })
 	for i, w := range c.doc.Workspaces {
 		path := fmt.Sprintf("/workspaces/%d", i)
 		c.reference(path+"/tier", "tier", w.Tier, tiers[w.Tier])
@@ -151,45 +152,45 @@
 
 func (c *checker) keyHash(path, workspace, hash string, keys map[string]string) {
 	if _, err := ParseKeyHash(hash); err != nil {
-		c.report(path, "a key hash is 64 hexadecimal digits")
+		c.report(path, "a key hash must be 64 hexadecimal digits")
 		return
 	}
 	if other, dup := keys[hash]; dup {
-		c.report(path, "this key already belongs to workspace %q", other)
+		c.report(path, "the key is already declared for workspace %q", other)
 		return
 	}
 	keys[hash] = workspace
 }
 
 func (c *checker) services() {
-	c.names("services", len(c.doc.Services), func(i int) string { return c.doc.Services[i].Name })
+	c.uniqueNames("services", len(c.doc.Services), func(i int) string { return c.doc.Services[i].Name })
 	models := make(map[string]bool)
 	for i, s := range c.doc.Services {
 		path := fmt.Sprintf("/services/%d", i)
 		switch s.Kind {
 		case ModelService:
 			if s.Model == "" || models[s.Model] {
-				c.report(path+"/model", "model service %q needs a model name of its own", s.Name)
+				c.report(path+"/model", "model service %q requires a model name that no other service has", s.Name)
 			}
 			models[s.Model] = true
 		case PlainService:
 			if s.Model != "" {
-				c.report(path+"/model", "a plain service has no model")
+				c.report(path+"/model", "a plain service must not have a model")
 			}
 		default:
-			c.report(path+"/kind", "kind %q is neither %q nor %q", s.Kind, ModelService, PlainService)
+			c.report(path+"/kind", "unknown kind %q; want %q or %q", s.Kind, ModelService, PlainService)
 		}
 	}
 }
 
 func (c *checker) pools() {
-	c.names("pools", len(c.doc.Pools), func(i int) string { return c.doc.Pools[i].Name })
+	c.uniqueNames("pools", len(c.doc.Pools), func(i int) string { return c.doc.Pools[i].Name })
 	for i, p := range c.doc.Pools {
 		path := fmt.Sprintf("/pools/%d", i)
 		svc := c.doc.Service(p.Service)
 		c.reference(path+"/service", "service", p.Service, svc != nil)
 		c.poolRole(path, p, svc)
-		c.poolSize(path, p)
+		c.poolLimits(path, p)
 		c.policy(path+"/policy", p.Policy)
 	}
 }
@@ -198,7 +199,7 @@
 	switch p.Role {
 	case Prefill, Decode, Plain:
 	default:
-		c.report(path+"/role", "role %q is not prefill, decode or plain", p.Role)
+		c.report(path+"/role", "unknown role %q; want prefill, decode or plain", p.Role)
 		return
 	}
 	if svc == nil {
@@ -209,12 +210,12 @@
 	}
 }
 
-func (c *checker) poolSize(path string, p Pool) {
+func (c *checker) poolLimits(path string, p Pool) {
 	if p.Requests <= 0 {
 		c.report(path+"/requests", "requests must be at least 1")
 	}
 	if p.Headroom < 0 || (p.Requests > 0 && p.Headroom >= p.Requests) {
-		c.report(path+"/headroom", "headroom must lie between 0 and requests-1; spare tiers could never run")
+		c.report(path+"/headroom", "headroom must be between 0 and requests-1; otherwise spare tiers could never run")
 	}
 	l := c.doc.Limits
 	if p.Role == Decode && p.Tokens < l.PromptTokens+l.OutputTokens {
@@ -236,7 +237,7 @@
 
 func (c *checker) plugin(path, kind, id string) {
 	if ebonypulley.PluginID(id).Kind() != kind {
-		c.report(path, "%q is not the name of a %s plug-in", id, kind)
+		c.report(path, "%q is not a %s plug-in", id, kind)
 		return
 	}
 	if _, err := ebonypulley.NewPlugin(ebonypulley.PluginID(id)); err != nil {
@@ -245,7 +246,7 @@
 }
 
 func (c *checker) entries() {
-	c.names("entries", len(c.doc.Entries), func(i int) string { return c.doc.Entries[i].Name })
+	c.uniqueNames("entries", len(c.doc.Entries), func(i int) string { return c.doc.Entries[i].Name })
 	for i, e := range c.doc.Entries {
 		path := fmt.Sprintf("/entries/%d", i)
 		c.reference(path+"/data_centre", "data centre", e.DataCentre, c.hasDataCentre(e.DataCentre))
@@ -254,7 +255,7 @@
 }
 
 func (c *checker) endpoints() {
-	c.names("endpoints", len(c.doc.Endpoints), func(i int) string { return c.doc.Endpoints[i].Name })
+	c.uniqueNames("endpoints", len(c.doc.Endpoints), func(i int) string { return c.doc.Endpoints[i].Name })
 	agents := make(map[string]string)
 	for i, e := range c.doc.Endpoints {
 		path := fmt.Sprintf("/endpoints/%d", i)
@@ -262,51 +263,51 @@
 		c.reference(path+"/pool", "pool", e.Pool, c.doc.Pool(e.Pool) != nil)
 		c.address(path+"/agent", e.Agent)
 		if other, dup := agents[e.Agent]; dup {
-			c.report(path+"/agent", "agent address %s is already that of endpoint %q", e.Agent, other)
+			c.report(path+"/agent", "agent address %s is already used by endpoint %q", e.Agent, other)
 		}
 		agents[e.Agent] = e.Name
 		if u, err := url.Parse(e.URL); err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-			c.report(path+"/url", "%q is not an http or https URL", e.URL)
+			c.report(path+"/url", "url must be an http or https URL, not %q", e.URL)
 		}
 	}
 }
 
 func (c *checker) address(path, addr string) {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
-		c.report(path, "%q is not IP:port", addr)
+		c.report(path, "the address must be IP:port, not %q", addr)
 	}
 }
 
 func (c *checker) routes() {
-	c.names("routes", len(c.doc.Routes), func(i int) string { return c.doc.Routes[i].Name })
+	c.uniqueNames("routes", len(c.doc.Routes), func(i int) string { return c.doc.Routes[i].Name })
 	for i, r := range c.doc.Routes {
 		path := fmt.Sprintf("/routes/%d", i)
 		svc := c.doc.Service(r.Service)
 		c.reference(path+"/service", "service", r.Service, svc != nil)
 		if svc != nil && svc.Kind != PlainService {
-			c.report(path+"/service", "routes lead to plain services; %q is a %s service", svc.Name, svc.Kind)
+			c.report(path+"/service", "the service of a route must be a plain service; %q is a %s service", svc.Name, svc.Kind)
 		}
 		if strings.Contains(r.Name, "/") {
-			c.report(path+"/name", "a route's name is one path segment")
+			c.report(path+"/name", "the name of a route must be a single path segment")
 		}
 		c.calls(path, r.Calls)
 	}
 }
 
-// calls reports a declaration that an earlier one hides in full.
+// calls reports declarations that can never match, because an earlier one covers them.
 func (c *checker) calls(path string, calls []Call) {
 	for i, call := range calls {
 		p := fmt.Sprintf("%s/calls/%d", path, i)
 		if !strings.HasPrefix(call.Path, "/") {
-			c.report(p+"/path", "path %q does not begin with /", call.Path)
+			c.report(p+"/path", "path must begin with /, not %q", call.Path)
 		}
 		if call.Method == "" || call.Method != strings.ToUpper(call.Method) {
-			c.report(p+"/method", "method %q is not an upper-case HTTP method", call.Method)
+			c.report(p+"/method", "method must be an upper-case HTTP method, not %q", call.Method)
 		}
 		for j, earlier := range calls[:i] {
 			if earlier.covers(call) {
-				place := c.src.Position(fmt.Sprintf("%s/calls/%d", path, j))
-				c.report(p, "%s %s overlaps the earlier call at line %d and would never be used", call.Method, call.Path, place.Line)
+				pos := c.src.Position(fmt.Sprintf("%s/calls/%d", path, j))
+				c.report(p, "%s %s is covered by the call at line %d and would never match", call.Method, call.Path, pos.Line)
 			}
 		}
 	}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -19,25 +19,25 @@
 	_ "ebonypulley/plugins"
 )
 
-func TestExamplesAreClean(t *testing.T) {
+func TestExamplesHaveNoFindings(t *testing.T) {
 	for name, text := range map[string][]byte{"almaty": examples.Almaty, "mexico": examples.Mexico} {
 		_, findings := config.Parse(name, text)
 		assert.Empty(t, findings, name)
 	}
 }
 
-// Story: two entries read the same published document and hand it on to an
-// agent, which logs a conflict of two contents: reading had blanked the
-// comments in the published bytes.
-func TestParseLeavesTextAlone(t *testing.T) {
+// TestParseDoesNotModifyText: parsing must not blank the comments in the published text.
+// Two entries would send different texts of the same document to an agent, which would
+// log a conflict.
+func TestParseDoesNotModifyText(t *testing.T) {
 	text := bytes.Clone(examples.Almaty)
 	config.Parse("almaty", text)
 	assert.True(t, bytes.Equal(examples.Almaty, text))
 }
 
-// TestFiveMistakes plants mistakes of different kinds and wants each reported
-// with its place, all in one run.
-func TestFiveMistakes(t *testing.T) {
+// TestAllFindingsAreReported: mistakes of different kinds are all reported in one run,
+// each with its position.
+func TestAllFindingsAreReported(t *testing.T) {
 	text, err := os.ReadFile("testdata/five-mistakes.jsonc")
 	require.NoError(t, err)
 	_, findings := config.Parse("five-mistakes.jsonc", text)
@@ -48,22 +48,22 @@
 	want := []string{
 		`five-mistakes.jsonc:10:78: error: tier "gold" is not declared`,
 		`five-mistakes.jsonc:13:54: error: services: name "enrolment" is already used at line 13`,
-		`five-mistakes.jsonc:16:94: error: headroom must lie between 0 and requests-1; spare tiers could never run`,
-		`five-mistakes.jsonc:20:5: error: GET /seats/7 overlaps the earlier call at line 19 and would never be used`,
+		`five-mistakes.jsonc:16:94: error: headroom must be between 0 and requests-1; otherwise spare tiers could never run`,
+		`five-mistakes.jsonc:20:5: error: GET /seats/7 is covered by the call at line 19 and would never match`,
 		`five-mistakes.jsonc:5:17: error: deadline is above max_deadline (10m0s)`,
 	}
 	assert.ElementsMatch(t, want, got)
 }
 
-// TestShapeMistakes covers what is found before the meaning is looked at.
-func TestShapeMistakes(t *testing.T) {
+// TestDecodeFindings covers findings of syntax, field names and types.
+func TestDecodeFindings(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"generation": 1,, }`:                       "f:1:18: error: ",
-		`{"generation": "one"}`:                      `f:1:16: error: "one" does not fit; want a whole number from 0`,
+		`{"generation": "one"}`:                      `f:1:16: error: invalid value "one"; want a non-negative integer`,
 		`{"generaton": 1}`:                           `f:1:2: error: unknown field "generaton"`,
-		`{"generation": 1, "generation": 2}`:         `f:1:19: error: field "generation" appears twice`,
+		`{"generation": 1, "generation": 2}`:         `f:1:19: error: duplicate field "generation"`,
 		"{\n \"targets\": {\"ttft\": \"1 second\"}}": `f:2:22: error: "1 second" is not a duration`,
-		`{"tiers": {}}`:                              `f:1:11: error: an object is not expected here; want a list`,
+		`{"tiers": {}}`:                              `f:1:11: error: unexpected object; want a list`,
 		`{"data_centres": ["a"]}`:                    `want an object`,
 	} {
 		_, findings := config.Parse("f", []byte(text))
@@ -80,9 +80,9 @@
 	return text
 }
 
-// TestStoreIsMonotone offers documents in any order, again and again, to
-// several stores: each ends with the same one, the greatest, and never went
-// back on the way; invalid ones change nothing.
+// TestStoreIsMonotone: documents are offered to several stores in any order and
+// repeatedly. No store ever reverts to a lower version, invalid documents change
+// nothing, and all stores end with the same document.
 func TestStoreIsMonotone(t *testing.T) {
 	texts := [][]byte{
 		document(1, "a"), document(2, "a"), document(2, "b"), document(2, "c"), document(3, "a"), document(3, "b"),
@@ -96,10 +96,10 @@
 			before := s.Version()
 			s.Offer("test", rapid.SampledFrom(texts).Draw(t, "text"))
 			if before.Newer(s.Version()) {
-				t.Fatalf("went back from %v to %v", before, s.Version())
+				t.Fatalf("reverted from %v to %v", before, s.Version())
 			}
 		}
-		for _, from := range stores { // everybody hears of everything at last
+		for _, from := range stores { // finally each store is offered the documents of all
 			for _, to := range stores {
 				if cur := from.Current(); cur != nil {
 					to.Offer("peer", cur.Text)
@@ -139,8 +139,8 @@
 	assert.NotNil(t, r.Call("POST", "/bookings"))
 }
 
-// FuzzParse: no text, however broken, may crash the reader, and a document
-// without errors parses again after it was written.
+// FuzzParse: no text may crash the parser, and a document without errors parses again
+// after it was marshalled.
 func FuzzParse(f *testing.F) {
 	f.Add(examples.Mexico)
 	f.Add([]byte(`{"generation": 1, "tiers": [{"name": "x", "max_wait": "5s"}]} // c`))
--- a/config/defaults.go
+++ b/config/defaults.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Defaults of the limits that a document leaves out.
+// Defaults of fields that a document leaves out or sets to 0.
 const (
-	defaultBodyBytes       = 1 << 20
-	defaultPromptTokens    = 32768
-	defaultOutputTokens    = 512
-	defaultDeadline        = 60 * time.Second
-	defaultMaxDeadline     = 10 * time.Minute
-	defaultLeaseTTL        = 3 * time.Second
-	defaultIdempotency     = 10 * time.Minute
-	defaultIdempotencyKeys = 100_000
-	defaultRetryRatio      = 0.1
-	defaultTTFT            = time.Second
-	defaultTBT             = 71 * time.Millisecond
-	defaultQueue           = 64
+	defaultBodyBytes         = 1 << 20
+	defaultPromptTokens      = 32768
+	defaultOutputTokens      = 512
+	defaultDeadline          = 60 * time.Second
+	defaultMaxDeadline       = 10 * time.Minute
+	defaultLeaseTTL          = 3 * time.Second
+	defaultIdempotencyWindow = 10 * time.Minute
+	defaultIdempotencyKeys   = 100_000
+	defaultRetryRatio        = 0.1
+	defaultTTFT              = time.Second
+	defaultTBT               = 71 * time.Millisecond
+	defaultQueueLength       = 64
 )
 
 func (d *Document) setDefaults() {
@@ -29,12 +29,12 @@
 	l.Deadline = cmp.Or(l.Deadline, Duration(defaultDeadline))
 	l.MaxDeadline = cmp.Or(l.MaxDeadline, Duration(defaultMaxDeadline))
 	l.LeaseTTL = cmp.Or(l.LeaseTTL, Duration(defaultLeaseTTL))
-	l.IdempotencyWindow = cmp.Or(l.IdempotencyWindow, Duration(defaultIdempotency))
+	l.IdempotencyWindow = cmp.Or(l.IdempotencyWindow, Duration(defaultIdempotencyWindow))
 	l.IdempotencyKeys = cmp.Or(l.IdempotencyKeys, defaultIdempotencyKeys)
 	l.RetryRatio = cmp.Or(l.RetryRatio, defaultRetryRatio)
 	d.Targets.TTFT = cmp.Or(d.Targets.TTFT, Duration(defaultTTFT))
 	d.Targets.TBT = cmp.Or(d.Targets.TBT, Duration(defaultTBT))
 	for i := range d.Pools {
-		d.Pools[i].Queue = cmp.Or(d.Pools[i].Queue, defaultQueue)
+		d.Pools[i].Queue = cmp.Or(d.Pools[i].Queue, defaultQueueLength)
 	}
 }
--- a/config/log.go
+++ b/config/log.go
@@ -7,8 +7,8 @@
 	"ebonypulley/jsonc"
 )
 
-// LogVerdict writes the event that belongs to a verdict; Known and Stale are
-// everyday and write none.
+// LogVerdict logs the event for a verdict. Known and Stale are routine and are not
+// logged.
 func LogVerdict(log *event.Log, v Verdict, generation uint64, findings jsonc.Findings) {
 	switch v {
 	case Accepted:
--- a/config/lookup.go
+++ b/config/lookup.go
@@ -11,20 +11,21 @@
 	"github.com/joomcode/errorx"
 )
 
+// minLeaseTTL is three heartbeat intervals.
 const minLeaseTTL = 1500 * time.Millisecond
 
-// KeyHash is the SHA-256 of a workspace key.
+// KeyHash is the SHA-256 hash of a workspace key.
 type KeyHash [sha256.Size]byte
 
-// HashKey returns the hash of a key as a caller sends it.
+// HashKey returns the hash of a key that a caller sent.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// ParseKeyHash reads the document's hexadecimal form.
+// ParseKeyHash parses the hexadecimal form that the document uses.
 func ParseKeyHash(text string) (KeyHash, error) {
 	var h KeyHash
 	b, err := hex.DecodeString(text)
 	if err != nil || len(b) != len(h) {
-		return h, errorx.IllegalFormat.New("not a SHA-256 in hexadecimal")
+		return h, errorx.IllegalFormat.New("not a hexadecimal SHA-256 hash")
 	}
 	copy(h[:], b)
 	return h, nil
@@ -76,8 +77,8 @@
 	})
 }
 
-// Members returns the endpoints declared for a service in a role, in the
-// document's order.
+// Members returns the endpoints of a service's pools with a role, in the order of the
+// document.
 func (d *Document) Members(service string, role Role) []Endpoint {
 	pools := make(map[string]bool)
 	for _, p := range d.Pools {
@@ -94,7 +95,7 @@
 	return list
 }
 
-// Call returns the declaration that matches a method and a path below the
+// Call returns the first declaration that matches a method and a path below the
 // route, or nil.
 func (r *Route) Call(method, path string) *Call {
 	return find(r.Calls, func(c Call) bool { return c.Method == method && c.matches(path) })
@@ -109,7 +110,7 @@
 	return path == c.Path
 }
 
-// covers reports whether every call that other matches also matches c.
+// covers reports whether c matches every call that other matches.
 func (c Call) covers(other Call) bool {
 	if c.Method != other.Method {
 		return false
@@ -120,8 +121,8 @@
 	return c.matches(other.Path)
 }
 
-// MembersHash identifies the set of endpoints declared for a plain service.
-// Processes with the same hash agree on the owner of each Idempotency-Key.
+// MembersHash returns a hash of the names of a plain service's endpoints. Processes
+// with the same hash agree on the endpoint that owns each Idempotency-Key.
 func (d *Document) MembersHash(service string) uint64 {
 	var names []string
 	for _, e := range d.Members(service, Plain) {
--- a/config/store.go
+++ b/config/store.go
@@ -9,74 +9,73 @@
 	"ebonypulley/jsonc"
 )
 
-// Verdict is what a Store did with an offered document.
+// Verdict is the result of offering a document to a Store.
 type Verdict int
 
 // Verdicts of Store.Offer.
 const (
-	// Accepted: the document is now in force.
+	// Accepted: the document is now the current one.
 	Accepted Verdict = iota
-	// Known: this very document is already in force.
+	// Known: the document is already the current one.
 	Known
-	// Stale: a higher generation is in force.
+	// Stale: the current document has a higher generation.
 	Stale
-	// Conflict: the same generation with other content is in force.
+	// Conflict: the current document had the same generation and other content.
+	// The one with the greater digest is current now.
 	Conflict
-	// Invalid: the document has findings; nothing changed.
+	// Invalid: the document has Error findings; nothing changed.
 	Invalid
 )
 
-// String names the verdict as in logs.
+// String returns the name of the verdict, as in logs.
 func (v Verdict) String() string {
 	return [...]string{"accepted", "known", "stale", "conflict", "invalid"}[v]
 }
 
-// Snapshot is a document in force with the text that it was read from. It is
-// never changed.
+// Snapshot is a document that was applied, with the text that it was read from. It is
+// immutable.
 type Snapshot struct {
 	Document *Document
-	// Text is what is passed on to peers.
+	// Text is the published text, which is sent to peers unchanged.
 	Text []byte
 	// Digest is the xxhash of Text.
 	Digest uint64
-	index  index
+	index  lookupIndex
 }
 
-type index struct {
+type lookupIndex struct {
 	workspaces map[KeyHash]*Workspace
 }
 
-// Workspace returns the workspace that a key belongs to, or nil.
+// Workspace returns the workspace of a key, or nil.
 func (s *Snapshot) Workspace(key string) *Workspace {
 	return s.index.workspaces[HashKey(key)]
 }
 
-// Store keeps the document in force and accepts only higher generations.
+// Store keeps the current document and replaces it only by a newer version.
 //
-// A stale configuration service, a stale peer or a
-// late message offers an older document. It would show as removed endpoints
-// getting work again. The guard holds because the generation only grows,
-// whatever the source.
+// The generation never decreases, whatever the source. Otherwise a stale configuration
+// service, a stale peer or a delayed message could bring back an older document, and
+// removed endpoints would receive requests again.
 //
-// Of two documents with one generation the one with the greater digest wins
-// everywhere. Every process, whichever it read first, then ends with the same
-// one: two operators who publish from the same base get one defined outcome,
-// and a Conflict verdict tells them.
+// Of two documents with the same generation the one with the greater digest wins, so
+// that all processes end with the same one, whichever they read first. Two operators
+// who publish from the same base get a defined outcome and see a Conflict verdict.
 type Store struct {
-	mu       sync.RWMutex
-	current  *Snapshot
-	invalid  uint64 // digest of the last refused text
-	watchers []chan struct{}
+	mu             sync.RWMutex
+	current        *Snapshot
+	rejectedDigest uint64 // digest of the last text with Error findings
+	watchers       []chan struct{}
 }
 
-// Current returns the document in force, or nil before the first.
+// Current returns the current document, or nil before the first.
 func (s *Store) Current() *Snapshot {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.current
 }
 
-// Generation returns the generation in force, 0 before the first.
+// Generation returns the current generation, 0 before the first document.
 func (s *Store) Generation() uint64 {
 	if cur := s.Current(); cur != nil {
 		return cur.Document.Generation
@@ -84,7 +83,8 @@
 	return 0
 }
 
-// Version identifies a text among those of its generation.
+// Version identifies the text of a document. Texts of the same generation are ordered
+// by their digests.
 type Version struct {
 	Generation uint64
 	Digest     uint64
@@ -98,7 +98,7 @@
 	return v.Digest > other.Digest
 }
 
-// Version returns the version in force; zero before the first.
+// Version returns the current version, zero before the first document.
 func (s *Store) Version() Version {
 	if cur := s.Current(); cur != nil {
 		return cur.version()
@@ -110,11 +110,12 @@
 	return Version{Generation: s.Document.Generation, Digest: s.Digest}
 }
 
-// Offer checks text, whole, and puts it in force if it is newer. The findings
-// say why an Invalid one was refused.
+// Offer validates a complete document and applies it if it is newer than the current
+// one. Source names its origin in findings, which say why an Invalid document was
+// refused. They are nil for the text that was refused last.
 func (s *Store) Offer(source string, text []byte) (Verdict, jsonc.Findings) {
 	digest := xxhash.Sum64(text)
-	if s.refusedBefore(digest) {
+	if s.alreadyRejected(digest) {
 		return Invalid, nil
 	}
 	if cur := s.Current(); cur != nil && cur.Digest == digest {
@@ -123,7 +124,7 @@
 	doc, findings := Parse(source, text)
 	if findings.Errors() > 0 {
 		s.mu.Lock()
-		s.invalid = digest
+		s.rejectedDigest = digest
 		s.mu.Unlock()
 		return Invalid, findings
 	}
@@ -131,10 +132,10 @@
 	return s.install(next), findings
 }
 
-func (s *Store) refusedBefore(digest uint64) bool {
+func (s *Store) alreadyRejected(digest uint64) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.invalid == digest && digest != 0
+	return s.rejectedDigest == digest && digest != 0
 }
 
 func (s *Store) install(next *Snapshot) Verdict {
@@ -168,8 +169,8 @@
 	return verdict
 }
 
-// Watch returns a channel that gets a signal after each change; signals that
-// were not received yet are merged.
+// Watch returns a channel that receives a signal after a change, and at once if there is
+// a document already. Signals that were not received yet are merged.
 func (s *Store) Watch() <-chan struct{} {
 	w := make(chan struct{}, 1)
 	s.mu.Lock()
@@ -181,8 +182,8 @@
 	return w
 }
 
-func buildIndex(doc *Document) index {
-	idx := index{workspaces: make(map[KeyHash]*Workspace, len(doc.Workspaces))}
+func buildIndex(doc *Document) lookupIndex {
+	idx := lookupIndex{workspaces: make(map[KeyHash]*Workspace, len(doc.Workspaces))}
 	for i := range doc.Workspaces {
 		w := &doc.Workspaces[i]
 		for _, text := range w.KeySHA256 {
--- a/jsonc/decode.go
+++ b/jsonc/decode.go
@@ -13,30 +13,30 @@
 	"github.com/tailscale/hujson"
 )
 
-// Source is a parsed text that can tell the place of each value.
+// Source is a parsed text with the positions of its values.
 type Source struct {
 	file      string
 	text      []byte
-	places    map[string]int // JSON pointer -> byte offset
-	lineStart []int
+	offsets   map[string]int // JSON pointer -> byte offset
+	lineStart []int          // byte offset of each line
 }
 
-// Position returns the place of the value at a JSON pointer, or that of its
-// nearest ancestor that the text has.
+// Position returns the position of the value at a JSON pointer, or of its
+// nearest ancestor in the text.
 func (s *Source) Position(path string) Position {
 	for {
-		if off, ok := s.places[path]; ok {
-			return s.at(off)
+		if off, ok := s.offsets[path]; ok {
+			return s.positionAt(off)
 		}
 		cut := strings.LastIndexByte(path, '/')
 		if cut < 0 {
-			return s.at(0)
+			return s.positionAt(0)
 		}
 		path = path[:cut]
 	}
 }
 
-func (s *Source) at(off int) Position {
+func (s *Source) positionAt(off int) Position {
 	lo, hi := 0, len(s.lineStart)
 	for hi-lo > 1 {
 		mid := (lo + hi) / 2
@@ -49,23 +49,23 @@
 	return Position{File: s.file, Line: lo + 1, Column: off - s.lineStart[lo] + 1}
 }
 
-// Finding makes an Error finding about the value at path.
+// Finding returns an Error finding about the value at a JSON pointer.
 func (s *Source) Finding(path, format string, args ...any) Finding {
 	return Finding{Position: s.Position(path), Severity: Error, Path: path, Text: fmt.Sprintf(format, args...)}
 }
 
-// Decode reads text into out, a pointer to a struct. The findings cover
-// syntax, unknown and repeated fields and wrong types; out is only filled as
-// far as the text fits. The source is never nil.
+// Decode decodes text into out, a pointer to a struct. The findings cover syntax,
+// unknown and duplicate fields and wrong types; with any of them out may be left
+// incomplete. The source is never nil.
 func Decode(file string, text []byte, out any) (*Source, Findings) {
-	src := &Source{file: file, text: text, places: make(map[string]int), lineStart: lineStarts(text)}
-	// hujson blanks comments in the very bytes it was given; text must stay
-	// as published, because peers compare its digest.
+	src := &Source{file: file, text: text, offsets: make(map[string]int), lineStart: lineStarts(text)}
+	// hujson blanks comments in place; text must stay as published, because
+	// peers compare its digest.
 	root, err := hujson.Parse(bytes.Clone(text))
 	if err != nil {
 		return src, Findings{src.syntaxFinding(err)}
 	}
-	w := walker{src: src}
+	w := validator{src: src}
 	w.value(&root, reflect.TypeOf(out).Elem(), "")
 	if len(w.findings) > 0 {
 		w.findings.Sort()
@@ -88,10 +88,10 @@
 	return starts
 }
 
-// syntaxFinding takes the place out of a hujson error, which reads
+// syntaxFinding extracts the position from a hujson error of the form
 // "hujson: line L, column C: reason".
 func (s *Source) syntaxFinding(err error) Finding {
-	f := Finding{Position: s.at(0), Severity: Error, Text: err.Error()}
+	f := Finding{Position: s.positionAt(0), Severity: Error, Text: err.Error()}
 	var line, column int
 	if _, scanErr := fmt.Sscanf(err.Error(), "hujson: line %d, column %d:", &line, &column); scanErr == nil {
 		f.Position.Line, f.Position.Column = line, column
@@ -100,12 +100,13 @@
 	return f
 }
 
-type walker struct {
+// validator checks a syntax tree against the type that it will be decoded into.
+type validator struct {
 	src      *Source
 	findings Findings
 }
 
-func (w *walker) report(path, format string, args ...any) {
+func (w *validator) report(path, format string, args ...any) {
 	w.findings = append(w.findings, w.src.Finding(path, format, args...))
 }
 
@@ -114,9 +115,9 @@
 	rawMessage      = reflect.TypeFor[json.RawMessage]()
 )
 
-// value checks one JSON value against the Go type that it will fill.
-func (w *walker) value(v *hujson.Value, t reflect.Type, path string) {
-	w.src.places[path] = v.StartOffset
+// value checks one JSON value against a Go type and records its position.
+func (w *validator) value(v *hujson.Value, t reflect.Type, path string) {
+	w.src.offsets[path] = v.StartOffset
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
@@ -130,12 +131,12 @@
 	}
 }
 
-func (w *walker) object(o *hujson.Object, t reflect.Type, path string) {
+func (w *validator) object(o *hujson.Object, t reflect.Type, path string) {
 	if t == rawMessage {
 		return
 	}
 	if t.Kind() != reflect.Struct {
-		w.report(path, "an object is not expected here; want %s", describe(t))
+		w.report(path, "unexpected object; want %s", describe(t))
 		return
 	}
 	fields := fieldsOf(t)
@@ -144,27 +145,27 @@
 		m := &o.Members[i]
 		name := m.Name.Value.(hujson.Literal).String()
 		p := path + "/" + name
-		w.src.places[p] = m.Name.StartOffset
+		w.src.offsets[p] = m.Name.StartOffset
 		if seen[name] {
-			w.report(p, "field %q appears twice", name)
+			w.report(p, "duplicate field %q", name)
 			continue
 		}
 		seen[name] = true
 		ft, ok := fields[name]
 		if !ok {
-			w.report(p, "unknown field %q; known here: %s", name, fieldNames(t))
+			w.report(p, "unknown field %q; known fields: %s", name, fieldNames(t))
 			continue
 		}
 		w.value(&m.Value, ft, p)
 	}
 }
 
-func (w *walker) array(a *hujson.Array, t reflect.Type, path string) {
+func (w *validator) array(a *hujson.Array, t reflect.Type, path string) {
 	if t == rawMessage {
 		return
 	}
 	if t.Kind() != reflect.Slice {
-		w.report(path, "a list is not expected here; want %s", describe(t))
+		w.report(path, "unexpected list; want %s", describe(t))
 		return
 	}
 	for i := range a.Elements {
@@ -172,7 +173,7 @@
 	}
 }
 
-func (w *walker) literal(l hujson.Literal, t reflect.Type, path string) {
+func (w *validator) literal(l hujson.Literal, t reflect.Type, path string) {
 	if t == rawMessage || l.Kind() == 'n' {
 		return
 	}
@@ -185,10 +186,10 @@
 		w.report(path, "%s", messageOf(err))
 		return
 	}
-	w.report(path, "%s does not fit; want %s", string(l), describe(t))
+	w.report(path, "invalid value %s; want %s", string(l), describe(t))
 }
 
-// messageOf returns an error's text without the name of its type.
+// messageOf returns an error's message without its type name.
 func messageOf(err error) string {
 	if typed := errorx.Cast(err); typed != nil {
 		return typed.Message()
@@ -230,6 +231,7 @@
 	return strings.Join(names, ", ")
 }
 
+// describe returns the JSON form of a type, for messages.
 func describe(t reflect.Type) string {
 	if reflect.PointerTo(t).Implements(textUnmarshaler) {
 		return "a quoted " + strings.ToLower(t.Name())
@@ -244,9 +246,9 @@
 	case reflect.Struct:
 		return "an object"
 	case reflect.Uint, reflect.Uint64, reflect.Uint32:
-		return "a whole number from 0"
+		return "a non-negative integer"
 	case reflect.Int, reflect.Int64, reflect.Int32:
-		return "a whole number"
+		return "an integer"
 	default:
 		return "a number"
 	}
--- a/jsonc/duration.go
+++ b/jsonc/duration.go
@@ -9,7 +9,7 @@
 // Duration is a time span written as a string such as "250ms" or "1m30s".
 type Duration time.Duration
 
-// UnmarshalText reads the form of time.ParseDuration.
+// UnmarshalText parses the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -19,10 +19,10 @@
 	return nil
 }
 
-// MarshalText writes the form of time.Duration.String.
+// MarshalText returns the format of time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// D returns the standard library's type.
+// D returns d as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
--- a/jsonc/finding.go
+++ b/jsonc/finding.go
@@ -1,6 +1,6 @@
-// Package jsonc reads JSON with comments strictly: every finding (unknown or
-// repeated field, wrong type, missing name) is collected with its place, so
-// that one run reports them all.
+// Package jsonc decodes JSON with comments strictly. It collects all findings, such as
+// unknown or duplicate fields and wrong types, each with its position, instead of
+// stopping at the first.
 package jsonc
 
 import (
@@ -11,18 +11,18 @@
 	"github.com/joomcode/errorx"
 )
 
-// Severity grades a finding.
+// Severity is the severity of a finding.
 type Severity string
 
 // Severities of findings.
 const (
 	// Error findings make the text unusable.
 	Error Severity = "error"
-	// Warning findings are reported only.
+	// Warning findings are only reported.
 	Warning Severity = "warning"
 )
 
-// Position is a place in a text; lines and columns count from 1.
+// Position is a position in a text. Lines and columns count from 1, columns in bytes.
 type Position struct {
 	File   string
 	Line   int
@@ -34,13 +34,13 @@
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
 }
 
-// Finding is one thing that is wrong with a text.
+// Finding is one problem in a text.
 type Finding struct {
 	Position Position
 	Severity Severity
-	// Path is the JSON pointer of the value concerned.
+	// Path is the JSON pointer of the value.
 	Path string
-	// Text says what is wrong and what to do.
+	// Text describes the problem.
 	Text string
 }
 
@@ -57,7 +57,7 @@
 // ErrFindings is the type of the error that carries findings.
 var ErrFindings = errorNamespace.NewType("findings")
 
-// Errors counts the findings of severity Error.
+// Errors returns the number of findings of severity Error.
 func (fs Findings) Errors() int {
 	n := 0
 	for _, f := range fs {
@@ -68,7 +68,7 @@
 	return n
 }
 
-// Sort orders the findings by place.
+// Sort orders the findings by position.
 func (fs Findings) Sort() {
 	sort.SliceStable(fs, func(i, j int) bool {
 		a, b := fs[i].Position, fs[j].Position
@@ -79,7 +79,7 @@
 	})
 }
 
-// String formats one finding a line.
+// String formats the findings, one per line.
 func (fs Findings) String() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
@@ -88,7 +88,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns nil without Error findings, else an ErrFindings with them all.
+// Err returns an ErrFindings error that lists all findings, or nil if none is an Error.
 func (fs Findings) Err() error {
 	if fs.Errors() == 0 {
 		return nil
