--- a/doc.go
+++ b/doc.go
@@ -1,12 +1,12 @@
-// Package ebonypulley is the kernel of the router: the plug-in registry, the
-// life cycle of a process and the detector of pauses. It knows nothing of
-// requests; the packages beside it do.
+// Package ebonypulley holds what all processes of the router share: the plug-in
+// registry, the life cycle of a process, dialing and the detection of process pauses.
+// It does not handle requests; the packages below it do.
 //
-// The path of a request through the tree is
+// A request passes through the packages
 //
 //	entry -> schedule -> peer -> wire -> agent -> (lease | attempt) -> endpoint
 //
-// Decisions live in state machines without I/O (lease, attempt, membership,
-// limit, config.Store): typed input and the current time go in, typed output
-// comes out. The daemons in entry and agent only connect them to sockets.
+// Decisions are made by state machines without I/O (lease, attempt, membership,
+// limit, config.Store), which take typed input and the current time and return typed
+// output. The daemons in entry and agent only connect them to sockets.
 package ebonypulley
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,5 @@
-// Package examples holds the configuration documents of the two deployments
-// that the router was written for.
+// Package examples embeds the configuration documents of the two deployments that the
+// router was written for.
 package examples
 
 import _ "embed" // for the documents
--- a/lifecycle.go
+++ b/lifecycle.go
@@ -6,24 +6,25 @@
 	"sync"
 )
 
-// Daemon is one process of the system, or one of its stand-ins.
+// Daemon is a process of the router, or a simulated process that stands in for one of
+// its dependencies.
 type Daemon interface {
-	// Run serves until ctx ends, then stops at once. It returns nil when it
+	// Run serves until ctx ends, then stops at once. It returns nil if it
 	// ended because of ctx or after Drain.
 	Run(ctx context.Context) error
-	// Drain stops taking new work, lets work in progress end whole, and then
-	// makes Run return. It blocks until that is so or ctx ends.
+	// Drain refuses new work, completes work in progress and then makes Run
+	// return. It blocks until that is done or ctx ends.
 	Drain(ctx context.Context) error
 }
 
-// Reloader is a daemon that can take changed settings while it runs.
+// Reloader is a daemon that can reload its settings while it runs.
 type Reloader interface {
-	// Reload reads the settings again. On an error the former ones stay in
-	// force.
+	// Reload reads the settings again. On an error the former ones remain
+	// active.
 	Reload() error
 }
 
-// Group runs functions together: the first error ends them all.
+// Group runs functions concurrently. The first error cancels them all.
 type Group struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -33,16 +34,17 @@
 }
 
 // NewGroup returns a group whose context ends with parent, on the first error
-// or by Stop.
+// or on Stop.
 func NewGroup(parent context.Context) *Group {
 	ctx, cancel := context.WithCancel(parent)
 	return &Group{ctx: ctx, cancel: cancel}
 }
 
-// Context is the context that the group's functions run under.
+// Context returns the context of the group's functions.
 func (g *Group) Context() context.Context { return g.ctx }
 
-// Go starts fn in the group.
+// Go runs fn in a goroutine of the group. An error other than a cancellation ends the
+// group's context.
 func (g *Group) Go(fn func(ctx context.Context) error) {
 	g.wg.Go(func() {
 		err := fn(g.ctx)
@@ -59,7 +61,7 @@
 // Stop ends the group's context without an error.
 func (g *Group) Stop() { g.cancel() }
 
-// Wait blocks until all functions have returned and joins their errors.
+// Wait blocks until all functions have returned, and returns their joined errors.
 func (g *Group) Wait() error {
 	g.wg.Wait()
 	g.cancel()
--- a/network.go
+++ b/network.go
@@ -7,25 +7,26 @@
 	"time"
 )
 
-// Dialer opens a connection, as net.Dialer.DialContext does. Daemons take one
-// so that a test can put a faulty network in its place; nil means TCP.
+// Dialer opens a connection, as net.Dialer.DialContext does. Daemons accept one so
+// that tests can simulate a faulty network; nil means TCP.
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
 const (
 	// dialTimeout bounds a connection attempt.
 	dialTimeout = time.Second
-	// keepAlive is the pause before and between the kernel's probes of a
-	// connection on which nothing comes; after keepAliveProbes it is dead.
+	// keepAlive is the idle time before the first TCP keep-alive probe, and the
+	// interval between probes. After keepAliveProbes without an answer the kernel
+	// closes the connection.
 	keepAlive       = 2 * time.Second
 	keepAliveProbes = 3
 )
 
 // OrTCP returns d, or a TCP dialer for nil.
 //
-// Something between the two ends forgets a connection
-// on which one of them waits for an answer without heartbeats of its own, such
-// as that of a plain service. It shows as a call that lasts until its
-// deadline. The guard holds because the kernel's probes get no answer either.
+// The TCP dialer enables keep-alive probes. A middlebox may drop the state of a
+// connection on which one end waits for an answer and which has no heartbeats of its
+// own, such as one to a plain service. Without probes, which then fail too, the call
+// would last until its deadline.
 func (d Dialer) OrTCP() Dialer {
 	if d != nil {
 		return d
@@ -39,16 +40,16 @@
 	return tcp.DialContext
 }
 
-// idleConns is the number of kept connections to one host.
-const idleConns = 64
+// maxIdleConnsPerHost is the number of idle keep-alive connections to one host.
+const maxIdleConnsPerHost = 64
 
-// HTTPClient returns a client over d. With fresh each request gets a
-// connection of its own.
-func (d Dialer) HTTPClient(fresh bool) *http.Client {
+// HTTPClient returns an HTTP client that dials with d. With disableKeepAlives it opens
+// a new connection for each request.
+func (d Dialer) HTTPClient(disableKeepAlives bool) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         d.OrTCP(),
-		MaxIdleConnsPerHost: idleConns,
-		DisableKeepAlives:   fresh,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
+		DisableKeepAlives:   disableKeepAlives,
 		DisableCompression:  true,
 	}}
 }
--- a/pause.go
+++ b/pause.go
@@ -2,16 +2,15 @@
 
 import "time"
 
-// PauseDetector notices that this process did not run for a while (stopped by
-// a signal, VM suspended, starved of processor time).
+// PauseDetector detects that this process did not run for a while, because it was
+// stopped by a signal, its VM was suspended or it got no processor time.
 //
-// A process wakes up and acts on leases and views
-// that the rest of the fleet gave up on meanwhile. It shows as work done for
-// callers who were answered by somebody else. The guard holds because whoever
-// acts on time-limited state calls Tick first: after a pause the gap between
-// two ticks exceeds the allowed one, and the caller must validate its state
-// again before acting. Wall time is compared as well, because the monotonic
-// clock stands still while a VM is suspended.
+// Code that acts on time-limited state calls Tick first. After a pause the gap since
+// the last tick exceeds the allowed one, and the code must validate its state again.
+// Otherwise a resumed process would act on leases and views that the other processes
+// have dropped meanwhile, and work for callers that another process has answered.
+// Wall time is compared as well, because the monotonic clock stops while a VM is
+// suspended.
 type PauseDetector struct {
 	allowed time.Duration
 	last    time.Time
@@ -22,8 +21,8 @@
 	return &PauseDetector{allowed: allowed}
 }
 
-// Tick records that the process runs at now. It returns the length of the
-// pause when the gap since the last tick exceeds the allowed one, else 0.
+// Tick records that the process runs at now. It returns the gap since the last tick if
+// it exceeds the allowed one, else 0.
 func (d *PauseDetector) Tick(now time.Time) time.Duration {
 	last := d.last
 	d.last = now
--- a/pause_test.go
+++ b/pause_test.go
@@ -9,12 +9,12 @@
 	"ebonypulley"
 )
 
-// Story: a process is stopped for five seconds between two ticks. The first
-// tick afterwards must say so, once; ordinary ticks say nothing.
-func TestPauseIsNoticedOnce(t *testing.T) {
+// TestPauseIsReportedOnce: a process is stopped for five seconds between two ticks. The
+// first tick afterwards reports the pause, other ticks report none.
+func TestPauseIsReportedOnce(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	d := ebonypulley.NewPauseDetector(time.Second)
-	assert.Zero(t, d.Tick(now), "the first tick has nothing to compare with")
+	assert.Zero(t, d.Tick(now), "the first tick has no predecessor")
 	now = now.Add(time.Second)
 	assert.Zero(t, d.Tick(now))
 	now = now.Add(5 * time.Second)
--- a/plugin.go
+++ b/plugin.go
@@ -17,18 +17,18 @@
 	return kind
 }
 
-// Plugin is anything that can be chosen by name in the configuration
-// document. Its kind's package defines the interface it must also satisfy.
+// Plugin is a component that the configuration document selects by its ID. The package
+// that uses plug-ins of a kind defines the interface that they must also satisfy.
 type Plugin interface {
 	// PluginInfo describes the plug-in; it must not depend on the receiver.
 	PluginInfo() PluginInfo
 }
 
-// PluginInfo is what the registry keeps of a plug-in.
+// PluginInfo describes a plug-in in the registry.
 type PluginInfo struct {
 	// ID is unique in the process.
 	ID PluginID
-	// New returns an unprovisioned instance.
+	// New returns an instance that is not provisioned yet.
 	New func() Plugin
 }
 
@@ -37,15 +37,15 @@
 	Provision() error
 }
 
-// Validator is implemented by plug-ins that can refuse what they were given.
-// Validate runs after Provision.
+// Validator is implemented by plug-ins that validate their state before use. Validate
+// runs after Provision.
 type Validator interface {
 	Validate() error
 }
 
 var (
 	pluginErrors = errorx.NewNamespace("plugin")
-	// ErrUnknownPlugin is returned for an ID that nothing registered.
+	// ErrUnknownPlugin is returned for an ID that is not registered.
 	ErrUnknownPlugin = pluginErrors.NewType("unknown")
 	// ErrPluginRefused is returned when Provision or Validate fails.
 	ErrPluginRefused = pluginErrors.NewType("refused")
@@ -54,17 +54,17 @@
 	registry   = make(map[PluginID]PluginInfo)
 )
 
-// RegisterPlugin adds a plug-in; plug-ins call it from init. It panics on a
-// malformed or repeated ID, because that is a mistake in the build.
+// RegisterPlugin adds a plug-in to the registry; plug-ins call it from init. It panics
+// on a malformed or duplicate ID, because that is a programming error.
 func RegisterPlugin(p Plugin) {
 	info := p.PluginInfo()
 	if info.ID.Kind() == string(info.ID) || info.New == nil {
-		panic("plugin: malformed registration of " + string(info.ID))
+		panic("plugin: ID without a kind, or no constructor: " + string(info.ID))
 	}
 	registryMu.Lock()
 	defer registryMu.Unlock()
 	if _, dup := registry[info.ID]; dup {
-		panic("plugin: registered twice: " + string(info.ID))
+		panic("plugin: duplicate ID: " + string(info.ID))
 	}
 	registry[info.ID] = info
 }
@@ -75,7 +75,7 @@
 	info, ok := registry[id]
 	registryMu.RUnlock()
 	if !ok {
-		return nil, ErrUnknownPlugin.New("no plug-in %q; known: %s", id, joinIDs(Plugins(id.Kind())))
+		return nil, ErrUnknownPlugin.New("unknown plug-in %q; known plug-ins: %s", id, joinIDs(Plugins(id.Kind())))
 	}
 	p := info.New()
 	if pr, ok := p.(Provisioner); ok {
@@ -91,7 +91,7 @@
 	return p, nil
 }
 
-// Plugins lists the registered IDs of a kind, sorted; an empty kind lists all.
+// Plugins returns the registered IDs of a kind in order; an empty kind means all.
 func Plugins(kind string) []PluginID {
 	registryMu.RLock()
 	defer registryMu.RUnlock()
--- a/plugins/filter/ready/ready.go
+++ b/plugins/filter/ready/ready.go
@@ -8,8 +8,8 @@
 
 func init() { ebonypulley.RegisterPlugin(new(Ready)) }
 
-// Ready keeps endpoints that can be reached, do not leave and were not tried
-// by this request before. When only tried ones are left it keeps those.
+// Ready keeps endpoints that are reachable, are not draining and were not tried for
+// this request. If all of those were tried, it keeps them.
 type Ready struct{}
 
 // PluginInfo implements ebonypulley.Plugin.
@@ -19,25 +19,25 @@
 
 // Filter implements schedule.Filter.
 func (*Ready) Filter(_ *schedule.Request, candidates []schedule.Candidate) []schedule.Candidate {
-	up := candidates[:0]
-	fresh := 0
+	reachable := candidates[:0]
+	untried := 0
 	for _, c := range candidates {
 		if !c.Ready {
 			continue
 		}
-		up = append(up, c)
+		reachable = append(reachable, c)
 		if !c.Tried {
-			fresh++
+			untried++
 		}
 	}
-	if fresh == 0 {
-		return up
+	if untried == 0 {
+		return reachable
 	}
-	kept := up[:0]
-	for _, c := range up {
+	selected := reachable[:0]
+	for _, c := range reachable {
 		if !c.Tried {
-			kept = append(kept, c)
+			selected = append(selected, c)
 		}
 	}
-	return kept
+	return selected
 }
--- a/plugins/picker/best/best.go
+++ b/plugins/picker/best/best.go
@@ -10,8 +10,8 @@
 
 func init() { ebonypulley.RegisterPlugin(new(Best)) }
 
-// Best takes the highest score. With many entries and lagging load it herds
-// on one endpoint; see twochoices.
+// Best picks the candidate with the highest score. With many entries and delayed load
+// reports, all of them pick the same endpoint (herding); see TwoChoices.
 type Best struct{}
 
 // PluginInfo implements ebonypulley.Plugin.
--- a/plugins/picker/random/random.go
+++ b/plugins/picker/random/random.go
@@ -10,7 +10,7 @@
 
 func init() { ebonypulley.RegisterPlugin(new(Random)) }
 
-// Random ignores the scores; a baseline.
+// Random picks a candidate at random and ignores the scores. It serves as a baseline.
 type Random struct{}
 
 // PluginInfo implements ebonypulley.Plugin.
--- a/plugins/picker/roundrobin/roundrobin.go
+++ b/plugins/picker/roundrobin/roundrobin.go
@@ -11,7 +11,8 @@
 
 func init() { ebonypulley.RegisterPlugin(new(RoundRobin)) }
 
-// RoundRobin takes candidates in turn whatever their scores; a baseline.
+// RoundRobin picks the candidates in turn and ignores the scores. It serves as a
+// baseline.
 type RoundRobin struct {
 	next atomic.Uint64
 }
--- a/plugins/picker/twochoices/twochoices.go
+++ b/plugins/picker/twochoices/twochoices.go
@@ -10,9 +10,9 @@
 
 func init() { ebonypulley.RegisterPlugin(new(TwoChoices)) }
 
-// TwoChoices draws two candidates at random and takes the one with the higher
-// score. Many entries that act on the same late load reports then do not all
-// pick the same endpoint.
+// TwoChoices draws two candidates at random and picks the one with the higher score
+// (power of two choices). Many entries that act on the same delayed load reports then
+// do not all pick the same endpoint.
 type TwoChoices struct{}
 
 // PluginInfo implements ebonypulley.Plugin.
--- a/plugins/plugins.go
+++ b/plugins/plugins.go
@@ -1,5 +1,4 @@
-// Package plugins lists, in one place and in order, the plug-ins that are
-// compiled into the binary.
+// Package plugins imports the plug-ins that are compiled into the binary.
 package plugins
 
 import (
--- a/plugins/scorer/distance/distance.go
+++ b/plugins/scorer/distance/distance.go
@@ -10,7 +10,7 @@
 
 func init() { ebonypulley.RegisterPlugin(new(Distance)) }
 
-// Distance prefers endpoints near the entry.
+// Distance prefers endpoints with a low network delay from the entry.
 type Distance struct{}
 
 // PluginInfo implements ebonypulley.Plugin.
@@ -18,10 +18,10 @@
 	return ebonypulley.PluginInfo{ID: "scorer.distance", New: func() ebonypulley.Plugin { return new(Distance) }}
 }
 
-// scale is the delay one way that halves the score.
-const scale = 2 * time.Millisecond
+// halfScoreDelay is the one-way delay that halves the score.
+const halfScoreDelay = 2 * time.Millisecond
 
 // Score implements schedule.Scorer.
 func (*Distance) Score(_ *schedule.Request, c *schedule.Candidate) float64 {
-	return 1 / (1 + float64(c.Distance)/float64(scale))
+	return 1 / (1 + float64(c.Distance)/float64(halfScoreDelay))
 }
--- a/plugins/scorer/load/load.go
+++ b/plugins/scorer/load/load.go
@@ -8,8 +8,8 @@
 
 func init() { ebonypulley.RegisterPlugin(new(Load)) }
 
-// Load prefers endpoints with little work: the agent's last report corrected
-// by this entry's own work since, and the prefill backlog in tokens.
+// Load prefers endpoints with low utilization and a small prefill backlog, by the
+// agent's last report and this entry's own requests since.
 type Load struct{}
 
 // PluginInfo implements ebonypulley.Plugin.
@@ -17,11 +17,12 @@
 	return ebonypulley.PluginInfo{ID: "scorer.load", New: func() ebonypulley.Plugin { return new(Load) }}
 }
 
-// backlogScale is the prefill backlog in tokens that halves the score.
-const backlogScale = 4096
+// halfScoreBacklog is the prefill backlog, in tokens, that halves the score of an
+// otherwise idle endpoint.
+const halfScoreBacklog = 4096
 
 // Score implements schedule.Scorer.
 func (*Load) Score(_ *schedule.Request, c *schedule.Candidate) float64 {
-	backlog := float64(c.Load.Backlog) / backlogScale
+	backlog := float64(c.Load.Backlog) / halfScoreBacklog
 	return 1 / (1 + c.Occupied() + backlog)
 }
--- a/plugins/scorer/prefix/prefix.go
+++ b/plugins/scorer/prefix/prefix.go
@@ -8,7 +8,7 @@
 
 func init() { ebonypulley.RegisterPlugin(new(Prefix)) }
 
-// Prefix prefers engines that probably hold the prompt's prefix in cache.
+// Prefix prefers engines that are likely to have the prompt's prefix in their KV cache.
 type Prefix struct{}
 
 // PluginInfo implements ebonypulley.Plugin.
--- a/settings/platform.go
+++ b/settings/platform.go
@@ -32,14 +32,14 @@
 func PlatformEntry(file string) (platform.Settings, error) {
 	s := platform.Settings{QuotaWindow: DefaultPlatformEntry().QuotaWindow}
 	err := load(file, &s,
-		name("name", &s.Name),
-		name("data_centre", &s.DataCentre),
-		address("listen", &s.Listen, false),
-		address("ready", &s.Ready, false),
-		address("peers", &s.Peers, false),
-		address("metrics", &s.Metrics, true),
-		address("store", &s.Store, false),
-		addresses("seeds", &s.Seeds),
+		required("name", &s.Name),
+		required("data_centre", &s.DataCentre),
+		ipPort("listen", &s.Listen, false),
+		ipPort("ready", &s.Ready, false),
+		ipPort("peers", &s.Peers, false),
+		ipPort("metrics", &s.Metrics, true),
+		ipPort("store", &s.Store, false),
+		ipPorts("seeds", &s.Seeds),
 		positive("grace", &s.Grace),
 		positive("retry_window", &s.RetryWindow),
 		positive("quota_window", &s.QuotaWindow),
@@ -50,10 +50,11 @@
 	return s, err
 }
 
-func addresses(field string, values *[]string) rule {
+// ipPorts requires each value to be IP:port.
+func ipPorts(field string, values *[]string) rule {
 	return func(src *jsonc.Source, report func(jsonc.Finding)) {
 		for i := range *values {
-			address(field, &(*values)[i], false)(src, report)
+			ipPort(field, &(*values)[i], false)(src, report)
 		}
 	}
 }
@@ -69,7 +70,7 @@
 func notNegative(field string, value *float64) rule {
 	return func(src *jsonc.Source, report func(jsonc.Finding)) {
 		if *value < 0 {
-			report(src.Finding("/"+field, "%s must not be below 0", field))
+			report(src.Finding("/"+field, "%s must not be negative", field))
 		}
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings file of one process: JSON with
-// comments, checked as strictly as the configuration document.
+// Package settings reads and validates the settings file of a process: JSON with
+// comments, as strict as the configuration document.
 package settings
 
 import (
@@ -24,10 +24,10 @@
 	ErrUnreadable = settingsErrors.NewType("unreadable")
 )
 
-// rule reports what is wrong with one field.
+// rule validates one field.
 type rule func(src *jsonc.Source, report func(jsonc.Finding))
 
-// load reads file into out and applies the rules.
+// load decodes file into out and applies the rules. The error lists all findings.
 func load(file string, out any, rules ...rule) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -44,7 +44,8 @@
 	return findings.Err()
 }
 
-func name(field string, value *string) rule {
+// required requires a value that is not empty.
+func required(field string, value *string) rule {
 	return func(src *jsonc.Source, report func(jsonc.Finding)) {
 		if *value == "" {
 			report(src.Finding("/"+field, "%s is missing", field))
@@ -52,7 +53,8 @@
 	}
 }
 
-func address(field string, value *string, optional bool) rule {
+// ipPort requires the value to be IP:port, or empty if it is optional.
+func ipPort(field string, value *string, optional bool) rule {
 	return func(src *jsonc.Source, report func(jsonc.Finding)) {
 		if optional && *value == "" {
 			return
@@ -63,7 +65,8 @@
 	}
 }
 
-func service(field string, value *string) rule {
+// httpURL requires the value to be an http or https URL, or empty.
+func httpURL(field string, value *string) rule {
 	return func(src *jsonc.Source, report func(jsonc.Finding)) {
 		if *value == "" {
 			return
@@ -91,12 +94,12 @@
 func Entry(file string) (entry.Settings, error) {
 	var s entry.Settings
 	err := load(file, &s,
-		name("name", &s.Name),
-		name("data_centre", &s.DataCentre),
-		address("listen", &s.Listen, false),
-		address("debug", &s.Debug, true),
-		service("config_service", &s.ConfigService),
-		service("vm_list", &s.VMList),
+		required("name", &s.Name),
+		required("data_centre", &s.DataCentre),
+		ipPort("listen", &s.Listen, false),
+		ipPort("debug", &s.Debug, true),
+		httpURL("config_service", &s.ConfigService),
+		httpURL("vm_list", &s.VMList),
 	)
 	return s, err
 }
@@ -116,11 +119,11 @@
 func Agent(file string) (agent.Settings, error) {
 	var s agent.Settings
 	err := load(file, &s,
-		name("name", &s.Name),
-		name("data_centre", &s.DataCentre),
-		address("listen", &s.Listen, false),
-		address("debug", &s.Debug, true),
-		service("config_service", &s.ConfigService),
+		required("name", &s.Name),
+		required("data_centre", &s.DataCentre),
+		ipPort("listen", &s.Listen, false),
+		ipPort("debug", &s.Debug, true),
+		httpURL("config_service", &s.ConfigService),
 	)
 	return s, err
 }
@@ -135,14 +138,14 @@
 	var s standin.Settings
 	kind := func(src *jsonc.Source, report func(jsonc.Finding)) {
 		if !s.Kind.Valid() {
-			report(src.Finding("/kind", "kind %q is none of %v", s.Kind, standin.Kinds))
+			report(src.Finding("/kind", "unknown kind %q; want one of %v", s.Kind, standin.Kinds))
 		}
 	}
-	err := load(file, &s, kind, address("listen", &s.Listen, false))
+	err := load(file, &s, kind, ipPort("listen", &s.Listen, false))
 	return s, err
 }
 
-// Format writes settings as their file.
+// Format returns settings as the text of a settings file.
 func Format(s any) ([]byte, error) {
 	text, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -12,31 +12,31 @@
 	"ebonypulley/settings"
 )
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	file := filepath.Join(t.TempDir(), "settings.jsonc")
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	return file
 }
 
-// The defaults that are printed must be accepted when read.
+// TestDefaultsAreValid: the default settings, as printed, are accepted when read.
 func TestDefaultsAreValid(t *testing.T) {
 	text, err := settings.Format(settings.DefaultEntry())
 	require.NoError(t, err)
-	e, err := settings.Entry(write(t, string(text)))
+	e, err := settings.Entry(writeFile(t, string(text)))
 	require.NoError(t, err)
 	assert.Equal(t, settings.DefaultEntry(), e)
 	text, err = settings.Format(settings.DefaultAgent())
 	require.NoError(t, err)
-	_, err = settings.Agent(write(t, string(text)))
+	_, err = settings.Agent(writeFile(t, string(text)))
 	assert.NoError(t, err)
 	text, err = settings.Format(settings.DefaultStandin())
 	require.NoError(t, err)
-	_, err = settings.Standin(write(t, string(text)))
+	_, err = settings.Standin(writeFile(t, string(text)))
 	assert.NoError(t, err)
 }
 
-func TestAllFindingsAtOnce(t *testing.T) {
-	_, err := settings.Entry(write(t, `{
+func TestAllFindingsAreReported(t *testing.T) {
+	_, err := settings.Entry(writeFile(t, `{
   // a comment
   "data_centre": "alm-a",
   "listen": "somewhere",
@@ -50,21 +50,21 @@
 	} {
 		assert.ErrorContains(t, err, want)
 	}
-	_, err = settings.Entry(write(t, `{"listn": ""}`))
+	_, err = settings.Entry(writeFile(t, `{"listn": ""}`))
 	assert.ErrorContains(t, err, `unknown field "listn"`)
 	_, err = settings.Entry("no such file")
 	assert.Error(t, err)
 }
 
-// TestPlatformEntrySettings: an operator's mistake in the settings of an entry shows as an
-// entry that starts and keeps other limits than were meant. All mistakes are told at once.
+// TestPlatformEntrySettings: with invalid settings an entry must not start, because it
+// would enforce other limits than the operator intended. All findings are reported at once.
 func TestPlatformEntrySettings(t *testing.T) {
 	text, err := settings.Format(settings.DefaultPlatformEntry())
 	require.NoError(t, err)
-	got, err := settings.PlatformEntry(write(t, string(text)))
+	got, err := settings.PlatformEntry(writeFile(t, string(text)))
 	require.NoError(t, err)
 	assert.Equal(t, settings.DefaultPlatformEntry(), got)
-	_, err = settings.PlatformEntry(write(t, `{
+	_, err = settings.PlatformEntry(writeFile(t, `{
   "quota_window": "0s",
   "quota_overrun": -0.1,
   "quota_slack": -1
@@ -74,12 +74,12 @@
 	}
 }
 
-// TestFractionalRetrySlack: an entry does not start, because the platform reckons the retries
-// that its fleet may make as a fraction.
+// TestFractionalRetrySlack: the platform sets retry_slack to a fraction. An entry that
+// accepted only integers would not start.
 func TestFractionalRetrySlack(t *testing.T) {
 	text, err := settings.Format(settings.DefaultPlatformEntry())
 	require.NoError(t, err)
-	got, err := settings.PlatformEntry(write(t, strings.Replace(string(text), `"retry_slack": 50`, `"retry_slack": 36.18`, 1)))
+	got, err := settings.PlatformEntry(writeFile(t, strings.Replace(string(text), `"retry_slack": 50`, `"retry_slack": 36.18`, 1)))
 	require.NoError(t, err)
 	assert.InDelta(t, 36.18, got.RetrySlack, 0.001)
 }
--- a/source/source.go
+++ b/source/source.go
@@ -1,5 +1,5 @@
-// Package source reads what the operators publish over plain HTTP: the configuration
-// document and the list of VMs. It writes nothing.
+// Package source reads what the operators publish over HTTP, the configuration document
+// and the list of VMs. It never writes to these services.
 package source
 
 import (
@@ -20,22 +20,22 @@
 	"ebonypulley/stall"
 )
 
-// VMState is the platform's word about a VM.
+// VMState is the state of a VM as the platform reports it.
 type VMState string
 
-// States of a VM.
+// States of a VM. One that is Leaving is about to be removed.
 const (
 	Live    VMState = "live"
 	Leaving VMState = "leaving"
 )
 
-// VM is one VM of the list; its name is that of its endpoint or entry.
+// VM is one VM of the list. It has the name of its endpoint or entry.
 type VM struct {
 	Name  string  `json:"name"`
 	State VMState `json:"state"`
 }
 
-// VMs is the answer to GET /v1/vms.
+// VMs is the body of the response to GET /v1/vms.
 type VMs struct {
 	VMs []VM `json:"vms"`
 }
@@ -43,73 +43,76 @@
 var (
 	platformErrors = errorx.NewNamespace("platform")
 	// ErrUnavailable is returned when a service of the platform does not
-	// answer, or not as it should.
+	// respond, or responds with an error or an invalid body.
 	ErrUnavailable = platformErrors.NewType("unavailable")
 )
 
-// Timing of the reads. A watch waits WatchWait at the service and counts as
-// one read there: 920 entries make 307 reads a second.
+// Timing of the reads.
 //
-// The connection of a watch goes silent. It shows as
-// a published document that does not come. The guard holds because a watch
-// that is not answered after WatchWait and watchSlack is given up, and the
-// next one uses a fresh connection: within 4 s, of the 5 s allowed. A document
-// that comes slowly is read to its end, up to readMost: maxDocument then needs a
-// twentieth of a link of 10 Mbit/s.
+// A watch without a response within WatchWait and watchMargin is cancelled, and the
+// next one uses a new connection. Otherwise a published document would not arrive if
+// the connection of the watch was silently lost; this way it takes 4 s at most, of the
+// 5 s allowed. A document that arrives slowly is read to its end as long as no gap
+// exceeds stallTimeout and the whole takes no more than maxReadTime: maxDocument then
+// needs a twentieth of a link of 10 Mbit/s.
 const (
-	WatchWait   = 3 * time.Second
-	watchSlack  = time.Second
-	readStall   = time.Second
-	readMost    = 15 * time.Second
-	readTimeout = 5 * time.Second
-	vmInterval  = 2 * time.Second
-	minPause    = 200 * time.Millisecond
-	maxPause    = 2 * time.Second
-	// maxDocument is the largest value that the service holds.
+	// WatchWait is how long the service holds a watch without a change (long poll).
+	// Each watch is one read there: 920 entries make 307 reads per second.
+	WatchWait     = 3 * time.Second
+	watchMargin   = time.Second
+	stallTimeout  = time.Second
+	maxReadTime   = 15 * time.Second
+	vmListTimeout = 5 * time.Second
+	// vmInterval is the mean time between two reads of the VM list; it is jittered by
+	// half of it either way.
+	vmInterval = 2 * time.Second
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// maxDocument is the size limit of the service, in bytes.
 	maxDocument = 1 << 20
 )
 
-// Watcher follows the configuration service into a store.
+// Watcher watches the configuration service and offers its documents to a store.
 type Watcher struct {
 	URL   string
 	Store *config.Store
 	Log   *event.Log
-	// Needed, if set, is asked before each read; a false skips it. Processes
-	// that learn from peers read only when those are silent.
+	// Needed, if set, reports whether to read; it is called before each read. Processes
+	// that receive the document from peers read only while those are silent.
 	Needed func() bool
 	HTTP   *http.Client
 }
 
-// Run reads until ctx ends. The service may be down or stale for long; what
-// it says is only offered to the store, which never goes back.
+// Run reads until ctx ends. The service may be unavailable or serve an old document
+// for long; the store refuses older documents.
 func (w *Watcher) Run(ctx context.Context) error {
-	var tag string
-	pause := minPause
-	down := false
+	var etag string
+	backoff := minBackoff
+	unreachable := false
 	for ctx.Err() == nil {
 		if w.Needed != nil && !w.Needed() {
-			ebonypulley.Sleep(ctx, maxPause/2)
+			ebonypulley.Sleep(ctx, maxBackoff/2)
 			continue
 		}
-		text, next, err := w.read(ctx, tag)
+		text, next, err := w.fetch(ctx, etag)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
-			if !down {
+			if !unreachable {
 				w.Log.Emit(event.ConfigUnreachable, event.Err(err))
 			}
-			down = true
-			ebonypulley.Sleep(ctx, pause/2+rand.N(pause))
-			pause = min(2*pause, maxPause)
+			unreachable = true
+			ebonypulley.Sleep(ctx, backoff/2+rand.N(backoff))
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		if down {
+		if unreachable {
 			w.Log.Emit(event.ConfigReachable)
 		}
-		down = false
-		pause = minPause
-		tag = next
+		unreachable = false
+		backoff = minBackoff
+		etag = next
 		if text != nil {
 			verdict, findings := w.Store.Offer("configuration service", text)
 			config.LogVerdict(w.Log, verdict, w.Store.Generation(), findings)
@@ -118,14 +121,14 @@
 	return nil
 }
 
-func (w *Watcher) read(ctx context.Context, tag string) ([]byte, string, error) {
+func (w *Watcher) fetch(ctx context.Context, etag string) ([]byte, string, error) {
 	wait := WatchWait
-	if tag == "" {
+	if etag == "" {
 		wait = 0
 	}
-	read := stall.Start(ctx, stall.Limits{Begin: wait + watchSlack, Idle: readStall, Most: readMost})
+	read := stall.Start(ctx, stall.Limits{Begin: wait + watchMargin, Idle: stallTimeout, Most: maxReadTime})
 	defer read.End()
-	q := url.Values{"etag": {tag}, "wait": {wait.String()}}
+	q := url.Values{"etag": {etag}, "wait": {wait.String()}}
 	resp, err := get(read.Context(), w.HTTP, w.URL+"/v1/config?"+q.Encode())
 	if err != nil {
 		return nil, "", read.Err(err)
@@ -133,14 +136,14 @@
 	defer resp.Body.Close()
 	switch resp.StatusCode {
 	case http.StatusNotModified:
-		if tag == "" {
+		if etag == "" {
 			return nil, "", ErrUnavailable.New("no document is published")
 		}
-		return nil, tag, nil
+		return nil, etag, nil
 	case http.StatusOK:
 		text, err := io.ReadAll(io.LimitReader(read.Body(resp.Body), maxDocument+1))
 		if err != nil || len(text) > maxDocument {
-			return nil, "", ErrUnavailable.New("document not read whole: %d bytes, %v", len(text), read.Err(err))
+			return nil, "", ErrUnavailable.New("document incomplete or too large: %d bytes read: %v", len(text), read.Err(err))
 		}
 		return text, resp.Header.Get("ETag"), nil
 	default:
@@ -148,7 +151,7 @@
 	}
 }
 
-// VMWatcher follows the list of VMs into a view.
+// VMWatcher polls the list of VMs and updates a membership view.
 type VMWatcher struct {
 	URL  string
 	View *membership.View
@@ -156,22 +159,22 @@
 	HTTP *http.Client
 }
 
-// Run reads until ctx ends. Without the list the last one stays.
+// Run reads until ctx ends. While the list can't be read, the last one remains.
 func (w *VMWatcher) Run(ctx context.Context) error {
-	down := false
+	unreachable := false
 	for ctx.Err() == nil {
-		err := w.read(ctx)
-		if err != nil && !down && ctx.Err() == nil {
+		err := w.fetch(ctx)
+		if err != nil && !unreachable && ctx.Err() == nil {
 			w.Log.Emit(event.VMListUnreachable, event.Err(err))
 		}
-		down = err != nil
+		unreachable = err != nil
 		ebonypulley.Sleep(ctx, vmInterval/2+rand.N(vmInterval))
 	}
 	return nil
 }
 
-func (w *VMWatcher) read(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+func (w *VMWatcher) fetch(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, vmListTimeout)
 	defer cancel()
 	resp, err := get(ctx, w.HTTP, w.URL+"/v1/vms")
 	if err != nil {
@@ -183,7 +186,7 @@
 		return ErrUnavailable.New("status %d", resp.StatusCode)
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxDocument)).Decode(&list); err != nil {
-		return ErrUnavailable.Wrap(err, "VM list")
+		return ErrUnavailable.Wrap(err, "decode VM list")
 	}
 	var leaving []string
 	for _, vm := range list.VMs {
--- a/source/source_test.go
+++ b/source/source_test.go
@@ -20,9 +20,10 @@
 	"ebonypulley/standin"
 )
 
-// TestLargeDocumentOnNarrowLink: an entry never gets the document, because a read
-// of 0.9 MB over the part of a link of 10 Mbit/s that requests leave takes longer
-// than a watch may, is cut and begins again. Only the want of bytes ends a read.
+// TestLargeDocumentOnNarrowLink: a read of 0.9 MB over the bandwidth that requests leave
+// on a link of 10 Mbit/s takes longer than the timeout of a watch. Only a stalled read
+// may be cancelled early; otherwise each read would start over and the entry would never
+// get the document.
 func TestLargeDocumentOnNarrowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := simnet.New()
