--- a/config/ask.go
+++ b/config/ask.go
@@ -40,15 +40,15 @@
 	return true
 }
 
-// Came records the verdict on the document that a peer sent.
-func (a *Ask) Came(peer any, verdict Verdict) {
+// Came records the result of offering the document that a peer sent.
+func (a *Ask) Came(peer any, result OfferResult) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.peer != peer {
 		return
 	}
 	a.peer = nil
-	if verdict == Invalid {
+	if result == Invalid {
 		a.rejected = a.requested
 	}
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -113,14 +113,14 @@
 	})
 }
 
-func TestVerdicts(t *testing.T) {
+func TestOfferResults(t *testing.T) {
 	s := new(config.Store)
-	offer := func(text []byte) config.Verdict {
+	offer := func(text []byte) config.OfferResult {
 		v, _ := s.Offer("test", text)
 		return v
 	}
 	assert.Equal(t, config.Accepted, offer(document(2, "a")))
-	assert.Equal(t, config.Known, offer(document(2, "a")))
+	assert.Equal(t, config.Unchanged, offer(document(2, "a")))
 	assert.Equal(t, config.Conflict, offer(document(2, "b")))
 	assert.Equal(t, config.Stale, offer(document(1, "a")))
 	assert.Equal(t, config.Invalid, offer([]byte("{}")))
--- a/config/log.go
+++ b/config/log.go
@@ -7,10 +7,10 @@
 	"ebonypulley/jsonc"
 )
 
-// LogVerdict logs the event for a verdict. Known and Stale are routine and are not
-// logged.
-func LogVerdict(log *event.Log, v Verdict, generation uint64, findings jsonc.Findings) {
-	switch v {
+// LogVerdict logs the result of an offer. Unchanged and Stale are routine and are not
+// logged, nor is an Invalid text that was refused before.
+func LogVerdict(log *event.Log, result OfferResult, generation uint64, findings jsonc.Findings) {
+	switch result {
 	case Accepted:
 		log.Emit(event.ConfigAccepted, zap.Uint64("generation", generation))
 	case Conflict:
--- a/config/store.go
+++ b/config/store.go
@@ -9,15 +9,15 @@
 	"ebonypulley/jsonc"
 )
 
-// Verdict is the result of offering a document to a Store.
-type Verdict int
+// OfferResult is the result of offering a document to a Store.
+type OfferResult int
 
-// Verdicts of Store.Offer.
+// Results of Store.Offer.
 const (
 	// Accepted: the document is now the current one.
-	Accepted Verdict = iota
-	// Known: the document is already the current one.
-	Known
+	Accepted OfferResult = iota
+	// Unchanged: the document is already the current one.
+	Unchanged
 	// Stale: the current document has a higher generation.
 	Stale
 	// Conflict: the current document had the same generation and other content.
@@ -27,9 +27,9 @@
 	Invalid
 )
 
-// String returns the name of the verdict, as in logs.
-func (v Verdict) String() string {
-	return [...]string{"accepted", "known", "stale", "conflict", "invalid"}[v]
+// String returns the name of the result.
+func (r OfferResult) String() string {
+	return [...]string{"accepted", "known", "stale", "conflict", "invalid"}[r]
 }
 
 // Snapshot is a document that was applied, with the text that it was read from. It is
@@ -60,7 +60,7 @@
 //
 // Of two documents with the same generation the one with the greater digest wins, so
 // that all processes end with the same one, whichever they read first. Two operators
-// who publish from the same base get a defined outcome and see a Conflict verdict.
+// who publish from the same base get a defined outcome and see the result Conflict.
 type Store struct {
 	mu             sync.RWMutex
 	current        *Snapshot
@@ -113,13 +113,13 @@
 // Offer validates a complete document and applies it if it is newer than the current
 // one. Source names its origin in findings, which say why an Invalid document was
 // refused. They are nil for the text that was refused last.
-func (s *Store) Offer(source string, text []byte) (Verdict, jsonc.Findings) {
+func (s *Store) Offer(source string, text []byte) (OfferResult, jsonc.Findings) {
 	digest := xxhash.Sum64(text)
 	if s.alreadyRejected(digest) {
 		return Invalid, nil
 	}
 	if cur := s.Current(); cur != nil && cur.Digest == digest {
-		return Known, nil
+		return Unchanged, nil
 	}
 	doc, findings := Parse(source, text)
 	if findings.Errors() > 0 {
@@ -138,20 +138,20 @@
 	return s.rejectedDigest == digest && digest != 0
 }
 
-func (s *Store) install(next *Snapshot) Verdict {
+func (s *Store) install(next *Snapshot) OfferResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	verdict := Accepted
+	result := Accepted
 	if s.current != nil {
 		cur, offered := s.current.version(), next.version()
 		if offered == cur {
-			return Known
+			return Unchanged
 		}
 		if offered.Generation == cur.Generation {
-			verdict = Conflict
+			result = Conflict
 		}
 		if !offered.Newer(cur) {
-			if verdict == Conflict {
+			if result == Conflict {
 				return Conflict
 			}
 			return Stale
@@ -166,7 +166,7 @@
 		default:
 		}
 	}
-	return verdict
+	return result
 }
 
 // Watch returns a channel that receives a signal after a change, and at once if there is
--- a/network.go
+++ b/network.go
@@ -25,8 +25,8 @@
 //
 // The TCP dialer enables keep-alive probes. A middlebox may drop the state of a
 // connection on which one end waits for an answer and which has no heartbeats of its
-// own, such as one to a plain service. Without probes, which then fail too, the call
-// would last until its deadline.
+// own, such as one to a plain service. The probes then get no answer and the connection
+// fails; without them the call would last until its deadline.
 func (d Dialer) OrTCP() Dialer {
 	if d != nil {
 		return d
--- a/plugin.go
+++ b/plugin.go
@@ -47,8 +47,8 @@
 	pluginErrors = errorx.NewNamespace("plugin")
 	// ErrUnknownPlugin is returned for an ID that is not registered.
 	ErrUnknownPlugin = pluginErrors.NewType("unknown")
-	// ErrPluginRefused is returned when Provision or Validate fails.
-	ErrPluginRefused = pluginErrors.NewType("refused")
+	// ErrPluginSetup is returned when Provision or Validate fails.
+	ErrPluginSetup = pluginErrors.NewType("refused")
 
 	registryMu sync.RWMutex
 	registry   = make(map[PluginID]PluginInfo)
@@ -80,12 +80,12 @@
 	p := info.New()
 	if pr, ok := p.(Provisioner); ok {
 		if err := pr.Provision(); err != nil {
-			return nil, ErrPluginRefused.Wrap(err, "provision %s", id)
+			return nil, ErrPluginSetup.Wrap(err, "provision %s", id)
 		}
 	}
 	if v, ok := p.(Validator); ok {
 		if err := v.Validate(); err != nil {
-			return nil, ErrPluginRefused.Wrap(err, "validate %s", id)
+			return nil, ErrPluginSetup.Wrap(err, "validate %s", id)
 		}
 	}
 	return p, nil
--- a/source/source.go
+++ b/source/source.go
@@ -114,8 +114,8 @@
 		backoff = minBackoff
 		etag = next
 		if text != nil {
-			verdict, findings := w.Store.Offer("configuration service", text)
-			config.LogVerdict(w.Log, verdict, w.Store.Generation(), findings)
+			result, findings := w.Store.Offer("configuration service", text)
+			config.LogVerdict(w.Log, result, w.Store.Generation(), findings)
 		}
 	}
 	return nil
