--- a/load/balancer.go
+++ b/load/balancer.go
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// Balancer stands in for the platform's balancer: it asks each entry's health
-// page and sends requests only to entries that answered well.
+// Balancer simulates the load balancer before the entries: it checks each entry's
+// health and sends requests only to healthy entries.
 type Balancer struct {
-	http *http.Client
-	all  []string
-	mu   sync.Mutex
-	well []string
+	client  *http.Client
+	urls    []string
+	mu      sync.Mutex
+	healthy []string
 }
 
-// probeInterval is the pause between two rounds of health checks; an entry's
-// drain notice must be longer.
+// probeInterval is the time between two rounds of health checks and the timeout of
+// each check. An entry's drain notice must be longer, so that the balancer stops
+// sending requests to an entry before it drains.
 const probeInterval = 500 * time.Millisecond
 
-// NewBalancer returns a balancer that takes all entries to be well until Run
-// has asked them.
+// NewBalancer returns a balancer of the entries at urls. It takes all of them to be
+// healthy until Run has checked them.
 func NewBalancer(client *http.Client, urls []string) *Balancer {
-	return &Balancer{http: client, all: urls, well: urls}
+	return &Balancer{client: client, urls: urls, healthy: urls}
 }
 
-// Run asks the entries until ctx ends.
+// Run checks the health of the entries until ctx ends.
 func (b *Balancer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		b.probe(ctx)
@@ -43,12 +44,12 @@
 func (b *Balancer) probe(ctx context.Context) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var well []string
-	for _, u := range b.all {
+	var healthy []string
+	for _, u := range b.urls {
 		wg.Go(func() {
-			if b.healthy(ctx, u) {
+			if b.isHealthy(ctx, u) {
 				mu.Lock()
-				well = append(well, u)
+				healthy = append(healthy, u)
 				mu.Unlock()
 			}
 		})
@@ -56,20 +57,20 @@
 	wg.Wait()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(well) == 0 {
-		well = b.all
+	if len(healthy) == 0 {
+		healthy = b.urls
 	}
-	b.well = well
+	b.healthy = healthy
 }
 
-func (b *Balancer) healthy(ctx context.Context, base string) bool {
+func (b *Balancer) isHealthy(ctx context.Context, base string) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeInterval)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/healthz", nil)
 	if err != nil {
 		return false
 	}
-	resp, err := b.http.Do(req)
+	resp, err := b.client.Do(req)
 	if err != nil {
 		return false
 	}
@@ -77,11 +78,11 @@
 	return resp.StatusCode < http.StatusMultipleChoices
 }
 
-// send tries entries that are well, in random order. Like a balancer it goes
-// on to the next one only when an entry takes no connection.
+// send tries the healthy entries in random order. As real load balancers do, it tries
+// the next entry only if the connection to one can't be established.
 func (b *Balancer) send(rnd *rand.Rand, send func(base string) (*http.Response, error)) (*http.Response, error) {
 	b.mu.Lock()
-	urls := append([]string(nil), b.well...)
+	urls := append([]string(nil), b.healthy...)
 	b.mu.Unlock()
 	rnd.Shuffle(len(urls), func(i, j int) { urls[i], urls[j] = urls[j], urls[i] })
 	var resp *http.Response
--- a/load/caller.go
+++ b/load/caller.go
@@ -1,6 +1,6 @@
-// Package load drives entries with mixed work and judges every answer: model
-// answers against what the engine stand-in yields for the prompt, calls
-// against how often the service ran them.
+// Package load generates mixed load against entries and verifies every answer: that
+// of a generation against the simulated engine's answer to the prompt, and that of a
+// plain call against the number of times that the simulated service ran it.
 package load
 
 import (
@@ -23,14 +23,15 @@
 	"ebonypulley/standin"
 )
 
-// Caller sends requests as the clients of the two deployments do.
+// Caller sends requests to entries and verifies the answers.
 type Caller struct {
 	HTTP *http.Client
 	// Balancer chooses the entry of each request.
 	Balancer *Balancer
 	// Model is the model service's model.
 	Model string
-	// Route is the plain service's route; Book and Look are its paths.
+	// Route is the plain service's route. Book and Look are the paths of its
+	// non-idempotent and its idempotent call.
 	Route string
 	Book  string
 	Look  string
@@ -41,36 +42,40 @@
 
 // Kinds of requests.
 const (
-	// Draft is a model request, whole or streamed.
-	Draft Kind = "draft"
-	// Booking is a non-idempotent call, some with an Idempotency-Key.
+	// KindGeneration is a generation by the model service, streamed or not.
+	KindGeneration Kind = "draft"
+	// Booking is a non-idempotent call, with or without an Idempotency-Key.
 	Booking Kind = "booking"
 	// Lookup is an idempotent call.
 	Lookup Kind = "lookup"
 )
 
-// Result is what became of one request.
+// Result is the result of one request as its caller sees it.
 type Result struct {
 	Kind    Kind
 	Trial   bool
 	Outcome entry.Outcome
-	// Cancelled: the caller went away on purpose.
+	// Cancelled reports that the caller disconnected on purpose.
 	Cancelled bool
-	// Broken: the answer ended visibly incomplete.
+	// Broken reports that the answer was aborted: it visibly ended before it was
+	// complete.
 	Broken bool
-	// Mismatch says how a whole answer differs from the right one.
+	// Mismatch says how a complete answer differs from the expected one.
 	Mismatch string
 	Status   int
-	// Reason is the error's message, or that of the broken connection.
+	// Reason is the message of the error response or of the connection error.
 	Reason string
-	// Call is the ID under which the plain service counts the call.
-	Call  string
-	TTFT  time.Duration
-	TBT   []time.Duration
-	Whole time.Duration
+	// Call is the ID by which the plain service counts the call.
+	Call string
+	// TTFT is the time to the first event of a streamed answer, TBT the times
+	// between its events.
+	TTFT time.Duration
+	TBT  []time.Duration
+	// Latency is the time to the complete answer.
+	Latency time.Duration
 }
 
-type chatBody struct {
+type chatRequest struct {
 	Model     string        `json:"model"`
 	Messages  []chatMessage `json:"messages"`
 	MaxTokens int           `json:"max_tokens"`
@@ -97,24 +102,24 @@
 	} `json:"error"`
 }
 
-// DraftSpec describes one model request.
+// DraftSpec describes a generation.
 type DraftSpec struct {
 	Key       string
 	Trial     bool
 	Prompt    string
 	MaxTokens int
 	Stream    bool
-	// CancelAfter makes the caller go away after so many tokens' events;
-	// 0 for never.
+	// CancelAfter makes the caller disconnect after this number of events; 0 means
+	// never.
 	CancelAfter int
 }
 
-// Draft sends a model request and checks its answer.
+// Draft sends a generation and verifies its answer.
 func (c *Caller) Draft(ctx context.Context, rnd *rand.Rand, d DraftSpec) Result {
-	res := Result{Kind: Draft, Trial: d.Trial}
+	res := Result{Kind: KindGeneration, Trial: d.Trial}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	body, _ := json.Marshal(chatBody{
+	body, _ := json.Marshal(chatRequest{
 		Model:     c.Model,
 		Messages:  []chatMessage{{Role: "user", Content: d.Prompt}},
 		MaxTokens: d.MaxTokens,
@@ -125,39 +130,39 @@
 		return c.post(ctx, base+"/v1/chat/completions", d.Key, body)
 	})
 	if err != nil {
-		res.lost(err)
+		res.setConnectionError(err)
 		return res
 	}
 	defer resp.Body.Close()
-	res.note(resp)
+	res.setHead(resp)
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(resp.Body)
-		res.Reason = reasonOf(text)
+		res.Reason = errorMessage(text)
 		return res
 	}
 	var text string
 	if d.Stream {
 		text = res.readStream(resp.Body, began, d.CancelAfter)
 	} else {
-		text = res.readWhole(resp.Body)
+		text = res.readResponse(resp.Body)
 	}
 	if res.Cancelled || res.Broken {
 		return res
 	}
-	res.Whole = time.Since(began)
-	want, _ := standin.Answer(entry.ChatPrompt([]string{"user"}, []string{d.Prompt}), d.MaxTokens)
+	res.Latency = time.Since(began)
+	want, _ := standin.GenerateAnswer(entry.ChatPrompt([]string{"user"}, []string{d.Prompt}), d.MaxTokens)
 	if text != strings.Join(want, "") {
-		res.Mismatch = "answer of " + strconv.Itoa(len(text)) + " bytes differs from the right one of " + strconv.Itoa(len(strings.Join(want, "")))
+		res.Mismatch = "answer of " + strconv.Itoa(len(text)) + " bytes differs from the expected answer of length " + strconv.Itoa(len(strings.Join(want, "")))
 	}
 	return res
 }
 
-func (r *Result) note(resp *http.Response) {
+func (r *Result) setHead(resp *http.Response) {
 	r.Status = resp.StatusCode
 	r.Outcome = entry.Outcome(resp.Header.Get(entry.HeaderOutcome))
 }
 
-func (r *Result) readWhole(body io.Reader) string {
+func (r *Result) readResponse(body io.Reader) string {
 	var a chatAnswer
 	if err := json.NewDecoder(body).Decode(&a); err != nil || len(a.Choices) != 1 {
 		r.Broken = true
@@ -203,18 +208,18 @@
 	return ""
 }
 
-// CallSpec describes one call to the plain service.
+// CallSpec describes a call to the plain service.
 type CallSpec struct {
 	Key   string
 	Trial bool
 	Kind  Kind
-	// IdempotencyKey is sent with a booking, if not empty.
+	// IdempotencyKey is sent with the call if it is not empty.
 	IdempotencyKey string
-	// ID names the call at the service; empty for a new one.
+	// ID identifies the call at the service; if it is empty, a new one is created.
 	ID string
 }
 
-// Call sends a booking or a lookup and checks its answer.
+// Call sends a call to the plain service and verifies its answer.
 func (c *Caller) Call(ctx context.Context, rnd *rand.Rand, s CallSpec) Result {
 	if s.ID == "" {
 		s.ID = uuid.Must(uuid.NewV7()).String()
@@ -230,60 +235,60 @@
 		return c.call(ctx, method, base+"/app/"+c.Route+path, s, body)
 	})
 	if err != nil {
-		res.lost(err)
+		res.setConnectionError(err)
 		return res
 	}
 	defer resp.Body.Close()
-	res.note(resp)
+	res.setHead(resp)
 	text, err := io.ReadAll(resp.Body)
-	res.Whole = time.Since(began)
+	res.Latency = time.Since(began)
 	if err != nil {
 		res.Broken = true
 		return res
 	}
 	switch {
 	case res.Outcome != entry.Answered:
-		res.Reason = reasonOf(text)
+		res.Reason = errorMessage(text)
 	case resp.StatusCode == http.StatusOK:
-		res.Mismatch = checkCall(text, s.ID, string(body))
+		res.Mismatch = checkCallAnswer(text, s.ID, string(body))
 	}
 	return res
 }
 
-// lost notes a request whose connection broke: only the caller's own view of
-// it, so unknown.
-func (r *Result) lost(err error) {
+// setConnectionError records that a request got no response. If it was sent, the caller can't
+// tell whether it ran, so that its outcome is unknown.
+func (r *Result) setConnectionError(err error) {
 	r.Outcome = entry.Unknown
-	r.Reason = "connection to the entry broke: " + err.Error()
+	r.Reason = "connection to the entry failed: " + err.Error()
 	if isDial(err) {
 		r.Outcome = entry.NotRun
-		r.Reason = "no entry takes connections"
+		r.Reason = "no entry accepts connections"
 	}
 }
 
-// isDial reports whether a request was never sent.
+// isDial reports whether err arose while connecting, so that the request was not sent.
 func isDial(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func reasonOf(text []byte) string {
+func errorMessage(text []byte) string {
 	var a chatAnswer
 	if json.Unmarshal(text, &a) != nil || a.Error == nil {
-		return "no reason given"
+		return "no error message in the response"
 	}
 	return a.Error.Message
 }
 
-func checkCall(text []byte, call, body string) string {
+func checkCallAnswer(text []byte, call, body string) string {
 	var a standin.PlainAnswer
 	switch err := json.Unmarshal(text, &a); {
 	case err != nil:
-		return "answer of a call is not readable: " + err.Error()
-	case a.Call != call:
-		return "answer belongs to call " + a.Call + ", not " + call
+		return "cannot decode the answer of a call: " + err.Error()
+	case a.CallID != call:
+		return "answer belongs to call " + a.CallID + ", not " + call
 	case a.Body != body:
-		return "the service got another body"
+		return "the service received a different body"
 	default:
 		return ""
 	}
@@ -299,8 +304,8 @@
 	return c.HTTP.Do(req)
 }
 
-// call sends one call. A broken connection leaves its outcome open, so
-// net/http must not repeat it by itself: without GetBody it can't.
+// call sends one call. If its connection breaks, its outcome is unknown, so net/http must
+// not send it again on its own; without GetBody it can't.
 func (c *Caller) call(ctx context.Context, method, target string, s CallSpec, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
@@ -315,5 +320,5 @@
 	return c.HTTP.Do(req)
 }
 
-// errNoURLs is returned for a caller without entries.
+// errNoURLs is returned if the balancer has no entries.
 var errNoURLs = errors.New("load: no entries to call")
--- a/load/mix.go
+++ b/load/mix.go
@@ -14,23 +14,23 @@
 	"ebonypulley/invariant"
 )
 
-// Mix is open-loop work of all kinds: requests arrive at their times whether
-// earlier ones are answered or not.
+// Mix is an open-loop load of all kinds of requests: each is sent at its arrival time,
+// whether or not earlier ones have been answered.
 type Mix struct {
 	Caller Caller
-	// PaidKey and TrialKey are workspace keys of the two tiers.
+	// PaidKey and TrialKey are workspace keys of the paid and of the trial tier.
 	PaidKey  string
 	TrialKey string
-	// Rate is the mean number of arrivals a second.
+	// Rate is the mean number of requests a second.
 	Rate float64
-	// For is how long requests arrive.
+	// For is the time during which requests are sent.
 	For  time.Duration
 	Seed uint64
 	// Progress, if set, is called about once a second.
 	Progress func(Summary)
 }
 
-// Summary adds up what became of the requests.
+// Summary counts the requests by their results.
 type Summary struct {
 	Requests  int
 	Whole     int
@@ -38,100 +38,103 @@
 	Unknown   int
 	Cancelled int
 	Broken    int
-	// Mismatches are whole answers that are not the right ones.
+	// Mismatches describe the complete answers that differ from the expected ones.
 	Mismatches []string
-	// Duplicates are non-idempotent calls that ran more than once.
+	// Duplicates counts non-idempotent calls that ran more than once.
 	Duplicates int
-	// FalseNotRun are calls refused as not run that did run.
+	// FalseNotRun counts calls that ran although the caller was told that they did not.
 	FalseNotRun int
-	// GoodPaid and Paid count paid streamed drafts within both targets, and
-	// all that were not cancelled.
+	// GoodPaid counts the paid streamed generations within both latency targets. Paid
+	// counts all paid streamed generations that were not cancelled, and also unstreamed
+	// ones that failed.
 	GoodPaid   int
 	Paid       int
 	Violations int64
-	// Reasons counts the answers that were not whole by outcome and reason.
+	// Reasons counts the error responses and connection errors by kind, outcome and
+	// reason.
 	Reasons map[string]int
 }
 
-// collector gathers results.
+// collector collects the results of a run.
 type collector struct {
-	mu      sync.Mutex
-	sum     Summary
-	results []Result
-	ttft    time.Duration
-	tbt     time.Duration
+	mu         sync.Mutex
+	totals     Summary
+	results    []Result
+	targetTTFT time.Duration
+	targetTBT  time.Duration
 }
 
-// Targets are the latency targets that goodput is counted against.
+// Targets are the latency targets for goodput. TBT is the target for the mean time
+// between the events of a stream.
 type Targets struct {
 	TTFT time.Duration
 	TBT  time.Duration
 }
 
-// Run sends the mix and returns when every request has ended.
+// Run sends the requests and returns when all of them have ended.
 func (m *Mix) Run(ctx context.Context, t Targets) (Summary, []Result, error) {
-	balanceCtx, stop := context.WithCancel(ctx)
+	balancerCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go m.Caller.Balancer.Run(balanceCtx)
-	c := &collector{ttft: t.TTFT, tbt: t.TBT, sum: Summary{Reasons: make(map[string]int)}}
+	go m.Caller.Balancer.Run(balancerCtx)
+	c := &collector{targetTTFT: t.TTFT, targetTBT: t.TBT, totals: Summary{Reasons: make(map[string]int)}}
 	var wg sync.WaitGroup
 	rnd := rand.New(rand.NewPCG(m.Seed, 1))
 	end := time.Now().Add(m.For)
-	report := time.Now().Add(time.Second)
-	for next := time.Now(); next.Before(end) && ctx.Err() == nil; next = next.Add(m.gap(rnd)) {
+	nextReport := time.Now().Add(time.Second)
+	for next := time.Now(); next.Before(end) && ctx.Err() == nil; next = next.Add(m.interarrivalTime(rnd)) {
 		time.Sleep(time.Until(next))
 		seed := rnd.Uint64()
-		wg.Go(func() { m.one(ctx, c, rand.New(rand.NewPCG(m.Seed, seed))) })
-		if m.Progress != nil && time.Now().After(report) {
+		wg.Go(func() { m.sendRequest(ctx, c, rand.New(rand.NewPCG(m.Seed, seed))) })
+		if m.Progress != nil && time.Now().After(nextReport) {
 			m.Progress(c.summary())
-			report = time.Now().Add(time.Second)
+			nextReport = time.Now().Add(time.Second)
 		}
 	}
 	wg.Wait()
 	return c.summary(), c.results, ctx.Err()
 }
 
-func (m *Mix) gap(rnd *rand.Rand) time.Duration {
+func (m *Mix) interarrivalTime(rnd *rand.Rand) time.Duration {
 	return time.Duration(rnd.ExpFloat64() / m.Rate * float64(time.Second))
 }
 
-// Shares of the mix.
+// Composition of the mix, and the maximum number of repeats of a call.
 const (
-	draftShare   = 0.5
-	bookingShare = 0.25
-	trialShare   = 0.4
-	streamShare  = 0.7
-	cancelShare  = 0.1
-	keyShare     = 0.5
-	repeatShare  = 0.2
-	maxRepeats   = 3
+	generationFraction    = 0.5
+	nonIdempotentFraction = 0.25
+	trialFraction         = 0.4
+	streamFraction        = 0.7
+	cancelFraction        = 0.1
+	keyFraction           = 0.5
+	repeatFraction        = 0.2
+	maxRepeats            = 3
 )
 
-func (m *Mix) one(ctx context.Context, c *collector, rnd *rand.Rand) {
-	key, trial := m.PaidKey, rnd.Float64() < trialShare
+func (m *Mix) sendRequest(ctx context.Context, c *collector, rnd *rand.Rand) {
+	key, trial := m.PaidKey, rnd.Float64() < trialFraction
 	if trial {
 		key = m.TrialKey
 	}
 	kind := rnd.Float64()
 	switch {
-	case kind < draftShare:
-		c.add(m.Caller.Draft(ctx, rnd, draft(rnd, key, trial)))
-	case kind < draftShare+bookingShare:
-		m.booking(ctx, c, rnd, key, trial)
+	case kind < generationFraction:
+		c.add(m.Caller.Draft(ctx, rnd, newGenerationSpec(rnd, key, trial)))
+	case kind < generationFraction+nonIdempotentFraction:
+		m.sendNonIdempotent(ctx, c, rnd, key, trial)
 	default:
 		c.add(m.Caller.Call(ctx, rnd, CallSpec{Key: key, Trial: trial, Kind: Lookup}))
 	}
 }
 
-// booking sends a booking; some callers repeat it with its key through
-// another entry, as impatient ones do.
-func (m *Mix) booking(ctx context.Context, c *collector, rnd *rand.Rand, key string, trial bool) {
+// sendNonIdempotent sends a non-idempotent call. Some callers then repeat it with the same
+// Idempotency-Key, several times at once and through any entry, as impatient users do.
+func (m *Mix) sendNonIdempotent(ctx context.Context, c *collector, rnd *rand.Rand, key string, trial bool) {
 	spec := CallSpec{Key: key, Trial: trial, Kind: Booking, ID: uuid.Must(uuid.NewV7()).String()}
-	if rnd.Float64() < keyShare {
+	if rnd.Float64() < keyFraction {
 		spec.IdempotencyKey = uuid.Must(uuid.NewV7()).String()
 	}
 	c.add(m.Caller.Call(ctx, rnd, spec))
-	if spec.IdempotencyKey == "" || rnd.Float64() >= repeatShare {
+	if spec.IdempotencyKey == "" || rnd.Float64() >= repeatFraction {
 		return
 	}
 	var wg sync.WaitGroup
@@ -144,19 +147,21 @@
 	wg.Wait()
 }
 
-// Lengths of the drafts.
+// Number of shared prompt prefixes, and lengths of generations: words of the prompt, output
+// tokens, and events after which a caller disconnects.
 const (
-	sharedParts  = 3
-	minWords     = 20
-	maxWords     = 300
-	minOutput    = 8
-	maxOutput    = 64
-	maxCancelled = 12
+	sharedPrefixes = 3
+	minWords       = 20
+	maxWords       = 300
+	minOutput      = 8
+	maxOutput      = 64
+	maxCancelAfter = 12
 )
 
-// draft makes a model request; many share the beginning of their prompt.
-func draft(rnd *rand.Rand, key string, trial bool) DraftSpec {
-	prompt := strings.Repeat("Rules of form "+string(rune('A'+rnd.IntN(sharedParts)))+" in full. ", maxWords/2)
+// newGenerationSpec returns a random generation. Many of them share a prompt prefix, so that
+// prefix caches have an effect.
+func newGenerationSpec(rnd *rand.Rand, key string, trial bool) DraftSpec {
+	prompt := strings.Repeat("Rules of form "+string(rune('A'+rnd.IntN(sharedPrefixes)))+" in full. ", maxWords/2)
 	for range minWords + rnd.IntN(maxWords-minWords) {
 		prompt += vocabulary[rnd.IntN(len(vocabulary))]
 	}
@@ -165,10 +170,10 @@
 		Trial:     trial,
 		Prompt:    prompt,
 		MaxTokens: minOutput + rnd.IntN(maxOutput-minOutput),
-		Stream:    rnd.Float64() < streamShare,
+		Stream:    rnd.Float64() < streamFraction,
 	}
-	if d.Stream && rnd.Float64() < cancelShare {
-		d.CancelAfter = 1 + rnd.IntN(maxCancelled)
+	if d.Stream && rnd.Float64() < cancelFraction {
+		d.CancelAfter = 1 + rnd.IntN(maxCancelAfter)
 	}
 	return d
 }
@@ -179,7 +184,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.results = append(c.results, r)
-	s := &c.sum
+	s := &c.totals
 	s.Requests++
 	if r.Mismatch != "" {
 		s.Mismatches = append(s.Mismatches, r.Mismatch)
@@ -200,36 +205,37 @@
 	if r.Reason != "" {
 		s.Reasons[string(r.Kind)+" "+string(r.Outcome)+": "+r.Reason]++
 	}
-	c.goodput(r)
+	c.addGoodput(r)
 }
 
-func (c *collector) goodput(r Result) {
-	if r.Kind != Draft || r.Trial || r.Cancelled || r.TTFT == 0 && !r.Broken && r.Outcome == entry.Answered {
+func (c *collector) addGoodput(r Result) {
+	if r.Kind != KindGeneration || r.Trial || r.Cancelled || r.TTFT == 0 && !r.Broken && r.Outcome == entry.Answered {
 		return
 	}
-	c.sum.Paid++
-	if r.Broken || r.Outcome != entry.Answered || r.TTFT > c.ttft {
+	c.totals.Paid++
+	if r.Broken || r.Outcome != entry.Answered || r.TTFT > c.targetTTFT {
 		return
 	}
 	var total time.Duration
 	for _, gap := range r.TBT {
 		total += gap
 	}
-	if len(r.TBT) == 0 || total/time.Duration(len(r.TBT)) <= c.tbt {
-		c.sum.GoodPaid++
+	if len(r.TBT) == 0 || total/time.Duration(len(r.TBT)) <= c.targetTBT {
+		c.totals.GoodPaid++
 	}
 }
 
 func (c *collector) summary() Summary {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.sum
+	s := c.totals
 	s.Reasons = maps.Clone(s.Reasons)
 	s.Violations = invariant.Violations()
 	return s
 }
 
-// Judge compares the results with how often the service ran each call.
+// Judge compares the results with the number of times that the service ran each call, by call
+// ID, and adds the violations found to the summary.
 func Judge(s Summary, results []Result, runs map[string]int) Summary {
 	seen := make(map[string]bool)
 	for _, r := range results {
@@ -241,7 +247,7 @@
 			s.Duplicates++
 		}
 		seen[r.Call] = true
-		if r.Outcome == entry.NotRun && n > 0 && !sharedCall(results, r) {
+		if r.Outcome == entry.NotRun && n > 0 && !otherMayHaveRun(results, r) {
 			s.FalseNotRun++
 		}
 		if r.Outcome == entry.Answered && r.Status < 300 && n == 0 {
@@ -251,9 +257,9 @@
 	return s
 }
 
-// sharedCall reports whether another request with the same call was answered
-// or may have run: then a refusal as not run speaks of its own request only.
-func sharedCall(results []Result, r Result) bool {
+// otherMayHaveRun reports whether another request with the same call ID was answered or may
+// have run. The run may then be that request's, and the answer that r did not run may be true.
+func otherMayHaveRun(results []Result, r Result) bool {
 	for _, other := range results {
 		if other.Call == r.Call && other.Outcome != entry.NotRun {
 			return true
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -14,30 +14,35 @@
 	"ebonypulley/jsonc"
 )
 
-// EngineSettings are the timing model and the habits of an engine.
+// EngineSettings configure the timing model and the behaviour of an engine.
 type EngineSettings struct {
-	// Requests is how many requests the memory holds. Default 20.
+	// Requests is the number of requests that fit into memory. Default 20.
 	Requests int `json:"requests"`
-	// StepBase is the time of a decode step of an empty batch. Default 8ms.
+	// StepBase is the part of a decode step's time that does not depend on the
+	// batch. Default 8ms.
 	StepBase jsonc.Duration `json:"step_base"`
-	// StepPerRequest is added for each request in the batch. Default 500us.
+	// StepPerRequest is added to a decode step for each request in the batch.
+	// Default 500us.
 	StepPerRequest jsonc.Duration `json:"step_per_request"`
-	// PrefillPerToken is the time per token that is not cached. Default 60us.
+	// PrefillPerToken is the prefill time for each uncached prompt token.
+	// Default 60us.
 	PrefillPerToken jsonc.Duration `json:"prefill_per_token"`
-	// KeepResult is how long a prefill result is kept. Default 800ms.
-	KeepResult jsonc.Duration `json:"keep_result"`
-	// CacheBlocks is the size of the prefix cache. Default 4096.
+	// ResultTTL is how long a prefill result is kept. Default 800ms.
+	ResultTTL jsonc.Duration `json:"keep_result"`
+	// CacheBlocks is the size of the prefix cache in blocks. Default 4096.
 	CacheBlocks int `json:"cache_blocks"`
-	// EventLag is how late cache events are published. Default 300ms.
+	// EventLag is the delay with which cache events are published. Default 300ms.
 	EventLag jsonc.Duration `json:"event_lag"`
-	// EventGap is the share of cache events that are lost, as one in so
-	// many. Default 10; 0 means the default, 1 loses all.
-	EventGap uint64 `json:"event_gap"`
-	// LoadLag is the age of the load reported. Default 200ms.
+	// EventLossInterval is n if every n-th cache event is lost. Default 10;
+	// 0 means the default, 1 loses all.
+	EventLossInterval uint64 `json:"event_gap"`
+	// LoadLag is the maximum age of the reported load, which is updated at this
+	// interval. Default 200ms.
 	LoadLag jsonc.Duration `json:"load_lag"`
-	// ChecksFence makes the engine refuse orders with an old fencing number.
+	// ChecksFence makes the engine refuse orders with an outdated fencing number.
 	ChecksFence bool `json:"checks_fence"`
-	// WeightStore is the URL that models are loaded from; empty loads at once.
+	// WeightStore is the URL that models are loaded from; if it is empty, they
+	// load at once.
 	WeightStore string `json:"weight_store"`
 }
 
@@ -46,91 +51,93 @@
 	s.StepBase = cmp.Or(s.StepBase, jsonc.Duration(8*time.Millisecond))
 	s.StepPerRequest = cmp.Or(s.StepPerRequest, jsonc.Duration(500*time.Microsecond))
 	s.PrefillPerToken = cmp.Or(s.PrefillPerToken, jsonc.Duration(60*time.Microsecond))
-	s.KeepResult = cmp.Or(s.KeepResult, jsonc.Duration(800*time.Millisecond))
+	s.ResultTTL = cmp.Or(s.ResultTTL, jsonc.Duration(800*time.Millisecond))
 	s.CacheBlocks = cmp.Or(s.CacheBlocks, 4096)
 	s.EventLag = cmp.Or(s.EventLag, jsonc.Duration(300*time.Millisecond))
-	s.EventGap = cmp.Or(s.EventGap, 10)
+	s.EventLossInterval = cmp.Or(s.EventLossInterval, 10)
 	s.LoadLag = cmp.Or(s.LoadLag, jsonc.Duration(200*time.Millisecond))
 }
 
-// request is one answer in the making, or just finished.
+// request is a request that is in progress or that finished less than
+// streamRetention ago.
 type request struct {
-	id      string
-	gen     *Generator
-	ctx     context.Context
-	cancel  context.CancelFunc
-	usage   engine.Usage
-	max     int
-	tokens  []string
-	why     string // set at the end
-	decodes bool
-	ended   time.Time
-	notify  chan struct{} // closed and replaced on each new token
-	streams []*gate
+	id           string
+	generator    *Generator
+	ctx          context.Context
+	cancel       context.CancelFunc
+	usage        engine.Usage
+	max          int
+	tokens       []string
+	finishReason string // empty while in progress
+	decoding     bool
+	finishedAt   time.Time
+	progress     chan struct{} // closed and replaced on each new token
+	streams      []*openStream
 }
 
-// gate makes an open stream silent for good.
-type gate struct {
-	silent chan struct{}
+// openStream is an open response stream; closing silenced stops its output
+// for good.
+type openStream struct {
+	silenced chan struct{}
 }
 
-// exported is a prefill result that waits to be fetched.
-type exported struct {
-	tokens int
-	state  []byte
-	expiry time.Time
+// kvExport is a prefill result that waits to be fetched by a decode engine.
+type kvExport struct {
+	tokens    int
+	state     []byte
+	expiresAt time.Time
 }
 
-// EngineStats counts what the engine did.
+// EngineStats are the counters of an engine.
 type EngineStats struct {
-	Held           int   `json:"held"`
-	MaxHeld        int   `json:"max_held"`
-	KVHeld         int   `json:"kv_held"`
-	PrefillTokens  int64 `json:"prefill_tokens"`
-	CachedTokens   int64 `json:"cached_tokens"`
-	DecodedTokens  int64 `json:"decoded_tokens"`
-	ExpiredResults int64 `json:"expired_results"`
-	Refused        int64 `json:"refused"`
+	Held                int   `json:"held"`
+	MaxHeldRequests     int   `json:"max_held"`
+	HeldExports         int   `json:"kv_held"`
+	PrefillTokens       int64 `json:"prefill_tokens"`
+	CachedTokens        int64 `json:"cached_tokens"`
+	DecodedTokens       int64 `json:"decoded_tokens"`
+	ExpiredResults      int64 `json:"expired_results"`
+	RefusedReservations int64 `json:"refused"`
 }
 
-// Engine is a continuously batching engine with limited memory.
+// Engine simulates a model engine with continuous batching and limited memory.
 type Engine struct {
-	set    EngineSettings
-	faults *faults
-	router *mux.Router
-	client *http.Client
+	settings EngineSettings
+	faults   *faultInjector
+	router   *mux.Router
+	client   *http.Client
 
-	mu       sync.Mutex
-	epoch    uint64
-	life     context.Context // ends with a crash
-	endLife  context.CancelFunc
-	state    engine.State
-	requests map[string]*request
-	exports  map[string]*exported
-	cache    *blockCache
-	prefills []*prefillJob
-	work     chan struct{} // signals a new prefill
-	decodes  chan struct{} // signals a new decode
-	load     engine.Load
-	loadAt   time.Time
-	stats    EngineStats
+	mu             sync.Mutex
+	epoch          uint64
+	lifetime       context.Context // cancelled by a crash
+	endLifetime    context.CancelFunc
+	state          engine.State
+	requests       map[string]*request
+	exports        map[string]*kvExport
+	cache          *blockCache
+	prefills       []*prefillJob
+	prefillReady   chan struct{} // signals a new prefill
+	decodeReady    chan struct{} // signals a new decode
+	reportedLoad   engine.Load
+	loadReportedAt time.Time
+	stats          EngineStats
 }
 
-// NewEngine returns an engine; Run must be started before it is used. Dial
-// reaches other engines and the weight store; nil means TCP.
+// NewEngine returns an engine; Run must be started before it is used. The engine
+// connects to other engines and to the weight store with dial; nil means TCP.
 func NewEngine(set EngineSettings, dial ebonypulley.Dialer) *Engine {
 	set.setDefaults()
 	e := &Engine{
-		set:     set,
-		faults:  newFaults(),
-		router:  mux.NewRouter(),
-		client:  dial.HTTPClient(false),
-		work:    make(chan struct{}, 1),
-		decodes: make(chan struct{}, 1),
+		settings:     set,
+		faults:       newFaultInjector(),
+		router:       mux.NewRouter(),
+		client:       dial.HTTPClient(false),
+		prefillReady: make(chan struct{}, 1),
+		decodeReady:  make(chan struct{}, 1),
 	}
 	e.reset()
 	e.faults.hooks[FaultCrash] = e.Crash
-	e.faults.hooks[FaultSilent] = e.silence
+	e.faults.hooks[FaultSilent] = e.silenceStreams
 	e.routes()
 	return e
 }
@@ -139,61 +146,64 @@
 
 func (e *Engine) reset() {
 	e.epoch = uint64(time.Now().UnixNano())
-	e.life, e.endLife = context.WithCancel(context.Background())
+	e.lifetime, e.endLifetime = context.WithCancel(context.Background())
 	e.state = engine.State{}
 	e.requests = make(map[string]*request)
-	e.exports = make(map[string]*exported)
+	e.exports = make(map[string]*kvExport)
 	e.prefills = nil
-	e.cache = newBlockCache(e.set.CacheBlocks, e.set.EventLag.D(), e.set.EventGap)
-	e.load = engine.Load{Capacity: e.set.Requests, Epoch: e.epoch}
-	e.loadAt = time.Now()
+	e.cache = newBlockCache(e.settings.CacheBlocks, e.settings.EventLag.D(), e.settings.EventLossInterval)
+	e.reportedLoad = engine.Load{Capacity: e.settings.Requests, Epoch: e.epoch}
+	e.loadReportedAt = time.Now()
 }
 
-// Crash loses all memory and cuts all connections.
+// Crash simulates a crash and restart: all memory is lost and all connections
+// are cut.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.endLife()
+	e.endLifetime()
 	e.reset()
 }
 
-// silence makes all open streams silent for good.
-func (e *Engine) silence() {
+// silenceStreams stops the output of all open streams for good and leaves their
+// connections open.
+func (e *Engine) silenceStreams() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, r := range e.requests {
-		for _, g := range r.streams {
-			close(g.silent)
+		for _, s := range r.streams {
+			close(s.silenced)
 		}
 		r.streams = nil
 	}
 }
 
-// Stats returns the counters.
+// Stats returns the current counters.
 func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.stats
-	s.Held = e.held()
-	s.KVHeld = len(e.exports)
+	s.Held = e.heldRequests()
+	s.HeldExports = len(e.exports)
 	return s
 }
 
-// Fault switches a fault on, as POST /admin/fault does.
-func (e *Engine) Fault(f Fault) { e.faults.set(f) }
+// Fault injects a fault, as POST /admin/fault does.
+func (e *Engine) Fault(f Fault) { e.faults.inject(f) }
 
-// held counts the requests in memory.
-func (e *Engine) held() int {
+// heldRequests returns the number of requests in memory; finished ones take
+// none. The caller holds e.mu.
+func (e *Engine) heldRequests() int {
 	n := 0
 	for _, r := range e.requests {
-		if r.why == "" {
+		if r.finishReason == "" {
 			n++
 		}
 	}
 	return n
 }
 
-// Run works until ctx ends.
+// Run runs the engine's decode and prefill loops until ctx ends.
 func (e *Engine) Run(ctx context.Context) error {
 	g := ebonypulley.NewGroup(ctx)
 	g.Go(e.decodeLoop)
@@ -201,16 +211,16 @@
 	g.Go(e.housekeeping)
 	err := g.Wait()
 	e.mu.Lock()
-	e.endLife()
+	e.endLifetime()
 	e.mu.Unlock()
 	e.client.CloseIdleConnections()
 	return err
 }
 
-// decodeLoop makes one token for each request of the batch in each step.
+// decodeLoop generates one token for each request of the batch in each step.
 func (e *Engine) decodeLoop(ctx context.Context) error {
 	for {
-		if !e.faults.wait(ctx, FaultStall) {
+		if !e.faults.waitWhile(ctx, FaultStall) {
 			return nil
 		}
 		e.mu.Lock()
@@ -220,20 +230,20 @@
 			select {
 			case <-ctx.Done():
 				return nil
-			case <-e.decodes:
+			case <-e.decodeReady:
 			}
 			continue
 		}
-		step := e.set.StepBase.D() + time.Duration(len(batch))*e.set.StepPerRequest.D()
-		if !ebonypulley.Sleep(ctx, scale(step, e.faults.factor())) {
+		step := e.settings.StepBase.D() + time.Duration(len(batch))*e.settings.StepPerRequest.D()
+		if !ebonypulley.Sleep(ctx, scale(step, e.faults.slowdown())) {
 			return nil
 		}
-		if e.faults.is(FaultStall) {
+		if e.faults.active(FaultStall) {
 			continue
 		}
 		e.mu.Lock()
 		for _, r := range batch {
-			e.step(r)
+			e.decodeToken(r)
 		}
 		e.mu.Unlock()
 	}
@@ -242,18 +252,18 @@
 func (e *Engine) batch() []*request {
 	var batch []*request
 	for _, r := range e.requests {
-		if r.decodes && r.why == "" {
+		if r.decoding && r.finishReason == "" {
 			batch = append(batch, r)
 		}
 	}
 	return batch
 }
 
-func (e *Engine) step(r *request) {
-	if r.ctx.Err() != nil || r.why != "" {
+func (e *Engine) decodeToken(r *request) {
+	if r.ctx.Err() != nil || r.finishReason != "" {
 		return
 	}
-	token, ok := r.gen.Next()
+	token, ok := r.generator.Next()
 	switch {
 	case !ok:
 		e.finish(r, FinishStop)
@@ -264,19 +274,19 @@
 			e.finish(r, FinishLength)
 		}
 	}
-	close(r.notify)
-	r.notify = make(chan struct{})
+	close(r.progress)
+	r.progress = make(chan struct{})
 }
 
-func (e *Engine) finish(r *request, why string) {
-	r.why = why
-	r.ended = time.Now()
+func (e *Engine) finish(r *request, reason string) {
+	r.finishReason = reason
+	r.finishedAt = time.Now()
 	r.usage.CompletionTokens = len(r.tokens)
 }
 
-// keepStream is how long a finished answer can be resumed. It takes no
-// engine memory.
-const keepStream = 5 * time.Second
+// streamRetention is how long a finished answer can be resumed. Such an answer
+// takes no engine memory.
+const streamRetention = 5 * time.Second
 
 const housekeepingInterval = 20 * time.Millisecond
 
@@ -285,35 +295,35 @@
 		now := time.Now()
 		e.mu.Lock()
 		for id, r := range e.requests {
-			if r.why != "" && now.Sub(r.ended) > keepStream {
+			if r.finishReason != "" && now.Sub(r.finishedAt) > streamRetention {
 				delete(e.requests, id)
 			}
 		}
-		for handle, x := range e.exports {
-			if now.After(x.expiry) {
+		for handle, export := range e.exports {
+			if now.After(export.expiresAt) {
 				delete(e.exports, handle)
 				e.stats.ExpiredResults++
 			}
 		}
-		if now.Sub(e.loadAt) >= e.set.LoadLag.D() {
-			e.load = e.loadNow()
-			e.loadAt = now
+		if now.Sub(e.loadReportedAt) >= e.settings.LoadLag.D() {
+			e.reportedLoad = e.currentLoad()
+			e.loadReportedAt = now
 		}
-		e.stats.MaxHeld = max(e.stats.MaxHeld, e.held())
+		e.stats.MaxHeldRequests = max(e.stats.MaxHeldRequests, e.heldRequests())
 		e.mu.Unlock()
 	}
 	return nil
 }
 
-func (e *Engine) loadNow() engine.Load {
-	l := engine.Load{Running: e.held(), Waiting: len(e.prefills), Capacity: e.set.Requests, Epoch: e.epoch}
+func (e *Engine) currentLoad() engine.Load {
+	l := engine.Load{Running: e.heldRequests(), Waiting: len(e.prefills), Capacity: e.settings.Requests, Epoch: e.epoch}
 	for _, j := range e.prefills {
 		l.BacklogTokens += j.tokens
 	}
 	return l
 }
 
-// signal wakes a loop; signals that were not received yet are merged.
+// signal wakes a loop; it does nothing if a signal is already pending.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/standin/enginehttp.go
+++ b/standin/enginehttp.go
@@ -21,7 +21,7 @@
 	r.HandleFunc("/v1/requests", e.serveRequests).Methods(http.MethodGet)
 	r.HandleFunc("/v1/requests/{id}", e.serveAbort).Methods(http.MethodDelete)
 	r.HandleFunc("/v1/kv/import", e.serveImport).Methods(http.MethodPost)
-	r.HandleFunc("/v1/kv/{handle}", e.serveClaim).Methods(http.MethodGet)
+	r.HandleFunc("/v1/kv/{handle}", e.serveFetchKV).Methods(http.MethodGet)
 	r.HandleFunc("/v1/kv/{handle}", e.serveDropKV).Methods(http.MethodDelete)
 	r.HandleFunc("/v1/cache/events", e.serveCacheEvents).Methods(http.MethodGet)
 	r.HandleFunc("/v1/load", e.serveLoad).Methods(http.MethodGet)
@@ -63,9 +63,9 @@
 		return
 	}
 	run.max = req.MaxTokens
-	run.decodes = true
+	run.decoding = true
 	e.mu.Unlock()
-	signal(e.decodes)
+	signal(e.decodeReady)
 	e.stream(w, r, run, 0)
 }
 
@@ -85,24 +85,24 @@
 	e.stream(w, r, run, from)
 }
 
-// stream sends the tokens from a number on as server-sent events.
+// stream sends the tokens from index from on as server-sent events.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, run *request, from int) {
 	ctx, cancel := e.requestContext(r)
 	defer cancel()
-	g := &gate{silent: make(chan struct{})}
+	open := &openStream{silenced: make(chan struct{})}
 	e.mu.Lock()
-	run.streams = append(run.streams, g)
+	run.streams = append(run.streams, open)
 	e.mu.Unlock()
 	w.Header().Set("Content-Type", "text/event-stream")
 	for {
 		e.mu.Lock()
-		tokens, why, more, usage := run.tokens, run.why, run.notify, run.usage
+		tokens, finishReason, progress, usage := run.tokens, run.finishReason, run.progress, run.usage
 		e.mu.Unlock()
 		for ; from < len(tokens); from++ {
 			sendEvent(w, engine.Completion{ID: run.id, TokenIndex: from, Choices: []engine.Choice{{Text: tokens[from]}}})
 		}
-		if why != "" {
-			sendEvent(w, engine.Completion{ID: run.id, TokenIndex: from, Choices: []engine.Choice{{FinishReason: why}}, Usage: &usage})
+		if finishReason != "" {
+			sendEvent(w, engine.Completion{ID: run.id, TokenIndex: from, Choices: []engine.Choice{{FinishReason: finishReason}}, Usage: &usage})
 			_, _ = w.Write([]byte("data: [DONE]\n\n"))
 			return
 		}
@@ -112,10 +112,10 @@
 			abortConnection()
 		case <-run.ctx.Done():
 			abortConnection()
-		case <-g.silent:
+		case <-open.silenced:
 			<-ctx.Done()
 			abortConnection()
-		case <-more:
+		case <-progress:
 		}
 	}
 }
@@ -126,7 +126,7 @@
 }
 
 func (e *Engine) serveAbort(w http.ResponseWriter, r *http.Request) {
-	if !e.faults.wait(r.Context(), FaultStall) {
+	if !e.faults.waitWhile(r.Context(), FaultStall) {
 		return
 	}
 	e.mu.Lock()
@@ -140,22 +140,22 @@
 }
 
 func (e *Engine) serveRequests(w http.ResponseWriter, r *http.Request) {
-	if !e.faults.wait(r.Context(), FaultStall) {
+	if !e.faults.waitWhile(r.Context(), FaultStall) {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	list := engine.Requests{IDs: []string{}}
 	for id, run := range e.requests {
-		if run.why == "" {
+		if run.finishReason == "" {
 			list.IDs = append(list.IDs, id)
 		}
 	}
 	reply(w, list)
 }
 
-// serveImport reserves memory, claims the result at its engine and takes the
-// time that the bytes need at the rate allowed.
+// serveImport reserves memory, fetches the KV cache from the engine that exported
+// it, and answers after the time that the transfer takes at the permitted rate.
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
 	var req engine.ImportRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
@@ -167,7 +167,7 @@
 		http.Error(w, "no memory", http.StatusServiceUnavailable)
 		return
 	}
-	status, err := e.transfer(r, run, req)
+	status, err := e.importKV(r, run, req)
 	if err != nil {
 		e.mu.Lock()
 		delete(e.requests, req.RequestID)
@@ -178,58 +178,60 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// reserve takes memory for a request, or returns nil when there is none.
+// reserve reserves memory for a request. It returns nil if memory is full or
+// the request's ID is in use.
 func (e *Engine) reserve(id string) *request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, dup := e.requests[id]; dup || e.held() >= e.set.Requests {
-		e.stats.Refused++
+	if _, dup := e.requests[id]; dup || e.heldRequests() >= e.settings.Requests {
+		e.stats.RefusedReservations++
 		return nil
 	}
-	run := &request{id: id, notify: make(chan struct{})}
-	run.ctx, run.cancel = context.WithCancel(e.life)
+	run := &request{id: id, progress: make(chan struct{})}
+	run.ctx, run.cancel = context.WithCancel(e.lifetime)
 	e.requests[id] = run
 	return run
 }
 
-func (e *Engine) transfer(r *http.Request, run *request, req engine.ImportRequest) (int, error) {
+func (e *Engine) importKV(r *http.Request, run *request, req engine.ImportRequest) (int, error) {
 	ctx, cancel := e.requestContext(r)
 	defer cancel()
-	if !e.faults.wait(ctx, FaultStall) || !e.faults.wait(ctx, FaultTransfer) {
+	if !e.faults.waitWhile(ctx, FaultStall) || !e.faults.waitWhile(ctx, FaultTransfer) {
 		return http.StatusGatewayTimeout, ctx.Err()
 	}
-	x, err := engine.NewClient(req.URL, e.client).Claim(ctx, req.Handle)
+	export, err := engine.NewClient(req.URL, e.client).Claim(ctx, req.Handle)
 	if err != nil {
 		return http.StatusGone, err
 	}
-	take := time.Duration(float64(x.Bytes) / req.BytesPerSecond * float64(time.Second))
-	if !ebonypulley.Sleep(ctx, scale(take, e.faults.factor())) {
+	duration := time.Duration(float64(export.Bytes) / req.BytesPerSecond * float64(time.Second))
+	if !ebonypulley.Sleep(ctx, scale(duration, e.faults.slowdown())) {
 		return http.StatusGatewayTimeout, ctx.Err()
 	}
-	gen, err := generatorFrom(x.State)
+	generator, err := restoreGenerator(export.State)
 	if err != nil {
 		return http.StatusBadRequest, err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	run.gen = gen
-	run.usage.PromptTokens = x.PromptTokens
+	run.generator = generator
+	run.usage.PromptTokens = export.PromptTokens
 	return 0, nil
 }
 
-// serveClaim hands out a result. Its expiry stands still while it is fetched.
-func (e *Engine) serveClaim(w http.ResponseWriter, r *http.Request) {
-	if !e.faults.wait(r.Context(), FaultStall) {
+// serveFetchKV returns an exported KV cache. The response carries all of its
+// state, so an import that has begun is not affected when the export expires.
+func (e *Engine) serveFetchKV(w http.ResponseWriter, r *http.Request) {
+	if !e.faults.waitWhile(r.Context(), FaultStall) {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	x, ok := e.exports[mux.Vars(r)["handle"]]
+	export, ok := e.exports[mux.Vars(r)["handle"]]
 	if !ok {
 		http.Error(w, "result expired", http.StatusGone)
 		return
 	}
-	reply(w, engine.Exported{PromptTokens: x.tokens, Bytes: int64(x.tokens) * engine.KVBytesPerToken, State: x.state})
+	reply(w, engine.Exported{PromptTokens: export.tokens, Bytes: int64(export.tokens) * engine.KVBytesPerToken, State: export.state})
 }
 
 func (e *Engine) serveDropKV(w http.ResponseWriter, r *http.Request) {
@@ -243,20 +245,20 @@
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	reply(w, engine.CacheEvents{Epoch: e.epoch, Events: e.cache.after(time.Now(), after)})
+	reply(w, engine.CacheEvents{Epoch: e.epoch, Events: e.cache.visibleAfter(time.Now(), after)})
 }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, r *http.Request) {
-	if !e.faults.wait(r.Context(), FaultStall) {
+	if !e.faults.waitWhile(r.Context(), FaultStall) {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	reply(w, e.load)
+	reply(w, e.reportedLoad)
 }
 
 func (e *Engine) serveState(w http.ResponseWriter, r *http.Request) {
-	if !e.faults.wait(r.Context(), FaultStall) {
+	if !e.faults.waitWhile(r.Context(), FaultStall) {
 		return
 	}
 	e.mu.Lock()
@@ -264,8 +266,8 @@
 	reply(w, e.state)
 }
 
-// serveOrder takes an order; engines that check the fencing number refuse an
-// old one, others obey whoever speaks last.
+// serveOrder applies an order. An engine that checks fencing numbers refuses an
+// order with an outdated one; other engines apply the latest order to arrive.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -273,7 +275,7 @@
 		return
 	}
 	e.mu.Lock()
-	if e.set.ChecksFence && o.Fence < e.state.Fence {
+	if e.settings.ChecksFence && o.Fence < e.state.Fence {
 		fence := e.state.Fence
 		e.mu.Unlock()
 		http.Error(w, fmt.Sprintf("fencing number %d is below %d", o.Fence, fence), http.StatusConflict)
@@ -281,7 +283,7 @@
 	}
 	load := o.Model != e.state.Model
 	if load {
-		e.loseRequests()
+		e.dropRequests()
 	}
 	e.state = engine.State{Model: o.Model, Role: o.Role, Fence: max(o.Fence, e.state.Fence), Loading: load}
 	e.mu.Unlock()
@@ -291,19 +293,20 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// loseRequests drops what the engine holds, as loading another model does.
-func (e *Engine) loseRequests() {
+// dropRequests aborts all requests, since loading another model discards their
+// KV caches. The caller holds e.mu.
+func (e *Engine) dropRequests() {
 	for id, run := range e.requests {
 		run.cancel()
 		delete(e.requests, id)
 	}
 }
 
-// loadModel fetches the weights and then serves the model of the order,
-// unless a later one came.
+// loadModel fetches the weights and then marks the model as loaded, unless a
+// later order has chosen another model.
 func (e *Engine) loadModel(o engine.Order) {
-	if e.set.WeightStore != "" {
-		resp, err := e.client.Get(e.set.WeightStore + "/weights/" + o.Model)
+	if e.settings.WeightStore != "" {
+		resp, err := e.client.Get(e.settings.WeightStore + "/weights/" + o.Model)
 		if err == nil {
 			_ = resp.Body.Close()
 		}
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -10,52 +10,55 @@
 	"ebonypulley/jsonc"
 )
 
-// FaultKind names a fault that a stand-in can show.
+// FaultKind is the kind of a fault that can be injected into a stand-in.
 type FaultKind string
 
-// Faults.
+// Kinds of faults.
 const (
-	// FaultNone ends stall, slow and the others that last.
+	// FaultNone ends the fault that is active.
 	FaultNone FaultKind = "none"
-	// FaultStall: nothing progresses; connections stay open.
+	// FaultStall: no work progresses; connections stay open.
 	FaultStall FaultKind = "stall"
-	// FaultSilent: open streams go silent for good, new ones work.
+	// FaultSilent: open streams send nothing more and stay open; new ones work.
 	FaultSilent FaultKind = "silent"
-	// FaultCrash: all memory is lost and open connections are cut.
+	// FaultCrash: all memory is lost and all connections are cut.
 	FaultCrash FaultKind = "crash"
 	// FaultSlow: work takes Factor times as long.
 	FaultSlow FaultKind = "slow"
-	// FaultTransfer: KV transfers stall, the rest works.
+	// FaultTransfer: KV transfers stall; everything else works.
 	FaultTransfer FaultKind = "transfer"
-	// FaultNoAnswer: a plain call runs, but its connection is cut.
+	// FaultNoAnswer: a plain call runs, but its connection is cut before the answer.
 	FaultNoAnswer FaultKind = "no_answer"
-	// FaultStale: the configuration service serves its oldest document.
+	// FaultStale: the configuration service serves the oldest document that it keeps.
 	FaultStale FaultKind = "stale"
-	// FaultOutage: every call is answered with 503.
+	// FaultOutage: every call is answered with status 503.
 	FaultOutage FaultKind = "outage"
 )
 
-// Fault is the body of POST /admin/fault.
+// Fault is the body of POST /admin/fault. Factor is the slowdown of FaultSlow; For,
+// if above 0, is how long the fault lasts.
 type Fault struct {
 	Kind   FaultKind      `json:"kind"`
 	Factor float64        `json:"factor,omitempty"`
 	For    jsonc.Duration `json:"for,omitempty"`
 }
 
-// faults is the switch board of one stand-in.
-type faults struct {
+// faultInjector holds the active fault of one stand-in. A kind with a hook, such as
+// a crash, happens once and does not become the active fault.
+type faultInjector struct {
 	mu      sync.Mutex
 	current Fault
 	changed chan struct{}
 	hooks   map[FaultKind]func()
 }
 
-func newFaults() *faults {
-	return &faults{changed: make(chan struct{}), hooks: make(map[FaultKind]func())}
+func newFaultInjector() *faultInjector {
+	return &faultInjector{changed: make(chan struct{}), hooks: make(map[FaultKind]func())}
 }
 
-// set switches a fault on; with For it ends by itself.
-func (f *faults) set(fault Fault) {
+// inject runs the fault's hook, or makes the fault the active one, for a limited
+// time if For is set.
+func (f *faultInjector) inject(fault Fault) {
 	f.mu.Lock()
 	hook := f.hooks[fault.Kind]
 	if hook == nil {
@@ -69,18 +72,18 @@
 		return
 	}
 	if fault.For > 0 {
-		time.AfterFunc(fault.For.D(), func() { f.set(Fault{Kind: FaultNone}) })
+		time.AfterFunc(fault.For.D(), func() { f.inject(Fault{Kind: FaultNone}) })
 	}
 }
 
-func (f *faults) is(kind FaultKind) bool {
+func (f *faultInjector) active(kind FaultKind) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.current.Kind == kind
 }
 
-// factor returns by how much work is slowed.
-func (f *faults) factor() float64 {
+// slowdown returns the factor by which work takes longer.
+func (f *faultInjector) slowdown() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.current.Kind == FaultSlow && f.current.Factor > 0 {
@@ -89,8 +92,9 @@
 	return 1
 }
 
-// wait blocks while the fault lasts; it returns false when ctx ended.
-func (f *faults) wait(ctx context.Context, kind FaultKind) bool {
+// waitWhile blocks while a fault of the kind is active. It returns false if ctx
+// has ended.
+func (f *faultInjector) waitWhile(ctx context.Context, kind FaultKind) bool {
 	for {
 		f.mu.Lock()
 		on, changed := f.current.Kind == kind, f.changed
@@ -106,14 +110,14 @@
 	}
 }
 
-// ServeHTTP takes a fault.
-func (f *faults) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP injects the fault in the request's body.
+func (f *faultInjector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var fault Fault
 	if err := json.NewDecoder(r.Body).Decode(&fault); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f.set(fault)
+	f.inject(fault)
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -14,30 +14,31 @@
 	"ebonypulley/jsonc"
 )
 
-// CallHeader names a call, so that the plain service can count how often
-// each ran.
+// CallHeader is the request header with the ID of a call, by which the plain
+// service counts how often each call ran.
 const CallHeader = "X-Call-Id"
 
-// PlainSettings are those of the plain service.
+// PlainSettings configure the plain service.
 type PlainSettings struct {
-	// Time is how long a call takes. Default 5ms.
+	// Time is the duration of a call. Default 5ms.
 	Time jsonc.Duration `json:"time"`
 }
 
-// PlainService counts how often each call ran.
+// PlainService simulates a plain service. It counts how often each call ran, so
+// that a load generator can find calls that ran twice.
 type PlainService struct {
-	set    PlainSettings
-	faults *faults
-	router *mux.Router
-	mu     sync.Mutex
-	runs   map[string]int
-	total  int
+	settings PlainSettings
+	faults   *faultInjector
+	router   *mux.Router
+	mu       sync.Mutex
+	runs     map[string]int
+	total    int
 }
 
 // NewPlainService returns a plain service.
 func NewPlainService(set PlainSettings) *PlainService {
 	set.Time = cmp.Or(set.Time, jsonc.Duration(5*time.Millisecond))
-	p := &PlainService{set: set, faults: newFaults(), router: mux.NewRouter(), runs: make(map[string]int)}
+	p := &PlainService{settings: set, faults: newFaultInjector(), router: mux.NewRouter(), runs: make(map[string]int)}
 	p.faults.hooks[FaultCrash] = func() {}
 	p.router.Handle("/admin/fault", p.faults).Methods(http.MethodPost)
 	p.router.HandleFunc("/admin/runs", func(w http.ResponseWriter, _ *http.Request) { reply(w, p.Runs()) })
@@ -46,16 +47,17 @@
 	return p
 }
 
-// PlainAnswer is the body of every answer.
+// PlainAnswer is the body of the answer to a call. It repeats the request, so that
+// callers can check that the answer is theirs.
 type PlainAnswer struct {
-	Method string `json:"method"`
-	Path   string `json:"path"`
-	Call   string `json:"call"`
-	Run    int    `json:"run"`
-	Body   string `json:"body"`
+	Method    string `json:"method"`
+	Path      string `json:"path"`
+	CallID    string `json:"call"`
+	RunNumber int    `json:"run"`
+	Body      string `json:"body"`
 }
 
-// Runs returns how often each call ran.
+// Runs returns the number of runs of each call, by call ID.
 func (p *PlainService) Runs() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,24 +68,24 @@
 	return runs
 }
 
-// Fault switches a fault on, as POST /admin/fault does.
-func (p *PlainService) Fault(f Fault) { p.faults.set(f) }
+// Fault injects a fault, as POST /admin/fault does.
+func (p *PlainService) Fault(f Fault) { p.faults.inject(f) }
 
 // ServeHTTP implements http.Handler.
 func (p *PlainService) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.router.ServeHTTP(w, r) }
 
 func (p *PlainService) serveHealth(w http.ResponseWriter, r *http.Request) {
-	if p.faults.is(FaultOutage) {
+	if p.faults.active(FaultOutage) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if p.faults.wait(r.Context(), FaultStall) {
+	if p.faults.waitWhile(r.Context(), FaultStall) {
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
 
 func (p *PlainService) serveCall(w http.ResponseWriter, r *http.Request) {
-	if p.faults.is(FaultOutage) {
+	if p.faults.active(FaultOutage) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -91,7 +93,7 @@
 	if err != nil {
 		return
 	}
-	if !p.faults.wait(r.Context(), FaultStall) || !ebonypulley.Sleep(r.Context(), scale(p.set.Time.D(), p.faults.factor())) {
+	if !p.faults.waitWhile(r.Context(), FaultStall) || !ebonypulley.Sleep(r.Context(), scale(p.settings.Time.D(), p.faults.slowdown())) {
 		return
 	}
 	call := r.Header.Get(CallHeader)
@@ -100,9 +102,9 @@
 	p.runs[call]++
 	run := p.runs[call]
 	p.mu.Unlock()
-	if p.faults.is(FaultNoAnswer) {
+	if p.faults.active(FaultNoAnswer) {
 		abortConnection()
 	}
 	w.Header().Set("X-Run", strconv.Itoa(run))
-	reply(w, PlainAnswer{Method: r.Method, Path: r.URL.Path, Call: call, Run: run, Body: string(body)})
+	reply(w, PlainAnswer{Method: r.Method, Path: r.URL.Path, CallID: call, RunNumber: run, Body: string(body)})
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -15,27 +15,29 @@
 	"ebonypulley/source"
 )
 
-// ConfigService holds the published document: GET /v1/config reads it, with
-// ?etag= and ?wait= it watches. PUT /admin/config is the operators' own means
-// to publish.
+// ConfigService simulates the configuration service. GET /v1/config returns the
+// current configuration document; with ?etag= and ?wait= it is a long poll for a
+// document with another tag. PUT /admin/config publishes a document.
 type ConfigService struct {
-	faults  *faults
-	router  *mux.Router
-	mu      sync.Mutex
-	texts   [][]byte // oldest first
-	changed chan struct{}
-	reads   int64
-	waiting int
+	faults    *faultInjector
+	router    *mux.Router
+	mu        sync.Mutex
+	documents [][]byte // oldest first
+	changed   chan struct{}
+	reads     int64
+	waiting   int
 }
 
-// keepTexts is how many published documents staleness can go back.
-const keepTexts = 8
+// maxDocuments is the number of published documents that are kept; FaultStale
+// serves the oldest of them.
+const maxDocuments = 8
 
-// NewConfigService returns a service that has published text, if any.
+// NewConfigService returns a service whose current document is text; nil means
+// that none has been published.
 func NewConfigService(text []byte) *ConfigService {
-	c := &ConfigService{faults: newFaults(), router: mux.NewRouter(), changed: make(chan struct{})}
+	c := &ConfigService{faults: newFaultInjector(), router: mux.NewRouter(), changed: make(chan struct{})}
 	if text != nil {
-		c.texts = [][]byte{text}
+		c.documents = [][]byte{text}
 	}
 	c.router.HandleFunc("/v1/config", c.serveRead).Methods(http.MethodGet)
 	c.router.HandleFunc("/admin/config", c.servePublish).Methods(http.MethodPut)
@@ -44,7 +46,8 @@
 	return c
 }
 
-// ConfigStats counts the calls, a watch as one.
+// ConfigStats counts read calls so far and those in progress. A long poll is one
+// call.
 type ConfigStats struct {
 	Reads   int64 `json:"reads"`
 	Waiting int   `json:"waiting"`
@@ -61,16 +64,16 @@
 func (c *ConfigService) Publish(text []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.texts = append(c.texts, text)
-	if len(c.texts) > keepTexts {
-		c.texts = c.texts[1:]
+	c.documents = append(c.documents, text)
+	if len(c.documents) > maxDocuments {
+		c.documents = c.documents[1:]
 	}
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// Fault switches a fault on, as POST /admin/fault does.
-func (c *ConfigService) Fault(f Fault) { c.faults.set(f) }
+// Fault injects a fault, as POST /admin/fault does.
+func (c *ConfigService) Fault(f Fault) { c.faults.inject(f) }
 
 // ServeHTTP implements http.Handler.
 func (c *ConfigService) ServeHTTP(w http.ResponseWriter, r *http.Request) { c.router.ServeHTTP(w, r) }
@@ -79,16 +82,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case len(c.texts) == 0:
+	case len(c.documents) == 0:
 		return nil, c.changed
-	case c.faults.is(FaultStale):
-		return c.texts[0], c.changed
+	case c.faults.active(FaultStale):
+		return c.documents[0], c.changed
 	default:
-		return c.texts[len(c.texts)-1], c.changed
+		return c.documents[len(c.documents)-1], c.changed
 	}
 }
 
-func (c *ConfigService) count(waiting int, reads int64) {
+func (c *ConfigService) addStats(waiting int, reads int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.waiting += waiting
@@ -96,16 +99,16 @@
 }
 
 func (c *ConfigService) serveRead(w http.ResponseWriter, r *http.Request) {
-	c.count(1, 1)
-	defer c.count(-1, 0)
-	if !c.faults.wait(r.Context(), FaultStall) {
+	c.addStats(1, 1)
+	defer c.addStats(-1, 0)
+	if !c.faults.waitWhile(r.Context(), FaultStall) {
 		return
 	}
 	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
-	expire := time.NewTimer(wait)
-	defer expire.Stop()
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	for {
-		if c.faults.is(FaultOutage) {
+		if c.faults.active(FaultOutage) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -119,7 +122,7 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-expire.C:
+		case <-timeout.C:
 			w.WriteHeader(http.StatusNotModified)
 			return
 		case <-changed:
@@ -129,11 +132,11 @@
 
 func etag(text []byte) string { return strconv.FormatUint(xxhash.Sum64(text), 16) }
 
-// maxDocument is the largest value that the service holds.
-const maxDocument = 1 << 20
+// maxDocumentBytes is the largest document that the service accepts.
+const maxDocumentBytes = 1 << 20
 
 func (c *ConfigService) servePublish(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxDocument))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxDocumentBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
@@ -142,18 +145,18 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// VMList is the platform's list of VMs; changes appear after Lag.
+// VMList simulates the platform's list of VMs. Changes become visible after a lag.
 type VMList struct {
-	faults *faults
+	faults *faultInjector
 	router *mux.Router
 	lag    time.Duration
 	mu     sync.Mutex
 	vms    map[string]source.VM
 }
 
-// NewVMList returns a list of live VMs whose changes show after lag.
+// NewVMList returns a list of VMs, all live, whose changes become visible after lag.
 func NewVMList(names []string, lag jsonc.Duration) *VMList {
-	l := &VMList{faults: newFaults(), router: mux.NewRouter(), lag: lag.D(), vms: make(map[string]source.VM)}
+	l := &VMList{faults: newFaultInjector(), router: mux.NewRouter(), lag: lag.D(), vms: make(map[string]source.VM)}
 	for _, n := range names {
 		l.vms[n] = source.VM{Name: n, State: source.Live}
 	}
@@ -167,10 +170,10 @@
 func (l *VMList) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.router.ServeHTTP(w, r) }
 
 func (l *VMList) serveList(w http.ResponseWriter, r *http.Request) {
-	if !l.faults.wait(r.Context(), FaultStall) {
+	if !l.faults.waitWhile(r.Context(), FaultStall) {
 		return
 	}
-	if l.faults.is(FaultOutage) {
+	if l.faults.active(FaultOutage) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -193,18 +196,19 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// WeightStore hands out model weights one after the other at its rate.
+// WeightStore simulates a store of model weights. Downloads run one after the other
+// and each takes loadTime.
 type WeightStore struct {
-	faults *faults
-	router *mux.Router
-	take   time.Duration
-	mu     sync.Mutex
-	busy   time.Time
+	faults    *faultInjector
+	router    *mux.Router
+	loadTime  time.Duration
+	mu        sync.Mutex
+	busyUntil time.Time
 }
 
-// NewWeightStore returns a store that needs take for one model.
-func NewWeightStore(take jsonc.Duration) *WeightStore {
-	s := &WeightStore{faults: newFaults(), router: mux.NewRouter(), take: take.D()}
+// NewWeightStore returns a store whose downloads take loadTime each.
+func NewWeightStore(loadTime jsonc.Duration) *WeightStore {
+	s := &WeightStore{faults: newFaultInjector(), router: mux.NewRouter(), loadTime: loadTime.D()}
 	s.router.HandleFunc("/weights/{model}", s.serveWeights)
 	s.router.Handle("/admin/fault", s.faults).Methods(http.MethodPost)
 	return s
@@ -214,16 +218,16 @@
 func (s *WeightStore) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
 func (s *WeightStore) serveWeights(w http.ResponseWriter, r *http.Request) {
-	if !s.faults.wait(r.Context(), FaultStall) {
+	if !s.faults.waitWhile(r.Context(), FaultStall) {
 		return
 	}
 	s.mu.Lock()
 	now := time.Now()
-	if s.busy.Before(now) {
-		s.busy = now
+	if s.busyUntil.Before(now) {
+		s.busyUntil = now
 	}
-	s.busy = s.busy.Add(s.take)
-	wait := s.busy.Sub(now)
+	s.busyUntil = s.busyUntil.Add(s.loadTime)
+	wait := s.busyUntil.Sub(now)
 	s.mu.Unlock()
 	if ebonypulley.Sleep(r.Context(), wait) {
 		w.WriteHeader(http.StatusNoContent)
--- a/standin/server.go
+++ b/standin/server.go
@@ -13,7 +13,7 @@
 
 const headerTimeout = 5 * time.Second
 
-// Server runs a stand-in as a process of its own.
+// Server serves a stand-in over HTTP, as a process of its own or on a listener.
 type Server struct {
 	Listen  string
 	Handler Handler
@@ -29,7 +29,7 @@
 	return s.Serve(ctx, ln)
 }
 
-// Serve is Run on a listener, which it closes.
+// Serve serves on ln until ctx ends, and closes ln.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	s.server = &http.Server{Handler: s.Handler, ReadHeaderTimeout: headerTimeout}
 	g := ebonypulley.NewGroup(ctx)
@@ -47,7 +47,7 @@
 	return g.Wait()
 }
 
-// Drain implements ebonypulley.Daemon: a stand-in stops at once.
+// Drain implements ebonypulley.Daemon. A stand-in stops at once.
 func (s *Server) Drain(context.Context) error { return s.server.Close() }
 
 var _ ebonypulley.Daemon = (*Server)(nil)
--- a/standin/settings.go
+++ b/standin/settings.go
@@ -11,7 +11,7 @@
 	"ebonypulley/jsonc"
 )
 
-// Kind names a stand-in.
+// Kind is the kind of a stand-in.
 type Kind string
 
 // Kinds of stand-ins.
@@ -36,33 +36,37 @@
 	return false
 }
 
-// Settings of a stand-in process.
+// Settings are the settings of a stand-in process.
 type Settings struct {
 	Kind   Kind   `json:"kind"`
 	Listen string `json:"listen"`
-	// Engine is used by kind engine, Plain by kind plain.
+	// Engine configures kind engine, Plain kind plain.
 	Engine EngineSettings `json:"engine"`
 	Plain  PlainSettings  `json:"plain"`
-	// Document is the file that kind config publishes at its start.
+	// Document is the file whose text kind config publishes at its start.
 	Document string `json:"document"`
-	// VMs are the names that kind vms lists as live, Lag how late it is.
+	// VMs are the names that kind vms lists as live at its start; Lag is the delay
+	// until a change is visible.
 	VMs []string       `json:"vms"`
 	Lag jsonc.Duration `json:"lag"`
-	// LoadTime is how long kind weights needs for a model.
+	// LoadTime is the time that kind weights takes to serve a model.
 	LoadTime jsonc.Duration `json:"load_time"`
 }
 
-// Handler is a stand-in: an HTTP interface and, for some, work beside it.
+// Handler is a stand-in's HTTP interface. Stand-ins with background work are also
+// a Runner.
 type Handler interface {
 	http.Handler
 }
 
-// Runner is implemented by stand-ins that work beside their interface.
+// Runner is implemented by stand-ins with background work; Run runs it until ctx
+// ends.
 type Runner interface {
 	Run(ctx context.Context) error
 }
 
-// New returns the stand-in that the settings describe.
+// New returns the stand-in that set describes. Engines connect to other stand-ins
+// with dial; nil means TCP.
 func New(set Settings, dial ebonypulley.Dialer) (Handler, error) {
 	switch set.Kind {
 	case KindEngine:
@@ -74,13 +78,13 @@
 	case KindWeights:
 		return NewWeightStore(set.LoadTime), nil
 	case KindConfig:
-		return newConfigFrom(set.Document)
+		return newConfigServiceFromFile(set.Document)
 	default:
 		return nil, errorx.IllegalArgument.New("kind %q is none of %v", set.Kind, Kinds)
 	}
 }
 
-func newConfigFrom(file string) (Handler, error) {
+func newConfigServiceFromFile(file string) (Handler, error) {
 	if file == "" {
 		return NewConfigService(nil), nil
 	}
--- a/standin/store.go
+++ b/standin/store.go
@@ -17,36 +17,38 @@
 	"golang.org/x/time/rate"
 )
 
-// StoreItem is one item of a Store, or its removal.
+// StoreItem is one item of a Store, or the deletion of one.
 type StoreItem struct {
 	Key string `json:"key"`
-	// Value is in base64, unless a test publishes bytes that can't be read.
+	// Value is in base64, unless a test stores a malformed value with PutRaw.
 	Value    string `json:"value,omitempty"`
 	Revision uint64 `json:"revision"`
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// Store stands in for the platform's store: listings, watches and an outage.
+// Store simulates the platform's key-value store: listings in pages, watches,
+// compaction, outages and a restore from a backup.
 type Store struct {
-	// Page is the number of items in one page of a listing; 0 for storePage. It is set
-	// before use.
+	// Page is the number of items in one page of a listing; 0 means defaultPageSize.
+	// It must be set before use.
 	Page int
-	// Reads, if set before use, bounds the calls that are answered; those beyond get 429.
+	// Reads, if not nil, limits the rate of calls; calls beyond it get status 429. It must
+	// be set before use.
 	Reads *rate.Limiter
 
-	mu       sync.Mutex
-	items    map[string]StoreItem
-	history  []StoreItem
-	dropped  uint64 // history up to this revision is gone
-	revision uint64
-	changed  chan struct{}
-	// down makes every call fail with 503.
+	mu        sync.Mutex
+	items     map[string]StoreItem
+	history   []StoreItem
+	compacted uint64 // the history up to this revision has been compacted
+	revision  uint64
+	changed   chan struct{}
+	// down makes every call fail with status 503.
 	down bool
-	// era counts how often the store came back from a copy.
+	// era counts the restores from a backup.
 	era uint64
 }
 
-// StoreCopy is what a Store held at a moment.
+// StoreCopy is a backup of a Store.
 type StoreCopy struct {
 	items    map[string]StoreItem
 	history  []StoreItem
@@ -58,19 +60,20 @@
 	return &Store{items: make(map[string]StoreItem), changed: make(chan struct{})}
 }
 
-// Put writes v as JSON and returns the store's revision.
+// Put writes v as JSON and returns the new revision of the store.
 func (s *Store) Put(key string, v any) uint64 {
 	text, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // a mistake in the test that calls it
+		panic(err) // the calling test is wrong
 	}
 	return s.PutRaw(key, base64.StdEncoding.EncodeToString(text))
 }
 
-// PutRaw writes a value as it stands in the store's answers.
+// PutRaw writes a value in its encoded form, as it appears in the store's answers.
+// It need not be valid base64.
 func (s *Store) PutRaw(key, value string) uint64 { return s.write(StoreItem{Key: key, Value: value}) }
 
-// Delete removes a key.
+// Delete deletes a key.
 func (s *Store) Delete(key string) { s.write(StoreItem{Key: key, Deleted: true}) }
 
 func (s *Store) write(item StoreItem) uint64 {
@@ -95,15 +98,15 @@
 	s.down = down
 }
 
-// Copy returns what the store holds.
+// Copy returns a backup of the store.
 func (s *Store) Copy() StoreCopy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return StoreCopy{items: maps.Clone(s.items), history: slices.Clone(s.history), revision: s.revision}
 }
 
-// Restore brings the store back from a copy: what was written since is lost, and its
-// revisions are given out again.
+// Restore restores the store from a backup and ends an outage. Writes since the backup
+// are lost, and their revision numbers will be used again.
 func (s *Store) Restore(c StoreCopy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,23 +117,23 @@
 	s.changed = make(chan struct{})
 }
 
-// Compact drops the history.
+// Compact discards the history, so that a watch from an older revision gets status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.dropped = nil, s.revision
+	s.history, s.compacted = nil, s.revision
 }
 
-// Handler serves the store's reading calls.
+// Handler serves the store's read calls.
 func (s *Store) Handler() http.Handler {
 	m := mux.NewRouter()
-	m.HandleFunc("/api/kv-range", s.list).Methods(http.MethodGet)
-	m.HandleFunc("/api/kv-watch", s.watch).Methods(http.MethodGet)
-	return s.withEra(s.withRate(m))
+	m.HandleFunc("/api/kv-range", s.serveList).Methods(http.MethodGet)
+	m.HandleFunc("/api/kv-watch", s.serveWatch).Methods(http.MethodGet)
+	return s.addEraHeader(s.limitReads(m))
 }
 
-// withRate refuses calls beyond the published rate.
-func (s *Store) withRate(next http.Handler) http.Handler {
+// limitReads refuses calls beyond the rate in Reads.
+func (s *Store) limitReads(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.Reads != nil && !s.Reads.Allow() {
 			w.WriteHeader(http.StatusTooManyRequests)
@@ -140,8 +143,8 @@
 	})
 }
 
-// withEra adds the era to all answers.
-func (s *Store) withEra(next http.Handler) http.Handler {
+// addEraHeader adds the Store-Era header to all answers.
+func (s *Store) addEraHeader(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		era := s.era
@@ -151,17 +154,18 @@
 	})
 }
 
-// storePage is the number of items in one page of a listing, few so that tests see several.
-const storePage = 3
+// defaultPageSize is the default number of items in one page of a listing. It is small so
+// that listings in tests have several pages.
+const defaultPageSize = 3
 
 func (s *Store) pageSize() int {
 	if s.Page > 0 {
 		return s.Page
 	}
-	return storePage
+	return defaultPageSize
 }
 
-func (s *Store) list(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveList(w http.ResponseWriter, r *http.Request) {
 	page, ok := s.page(r.URL.Query().Get("path_prefix"), r.URL.Query().Get("after"))
 	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -170,7 +174,8 @@
 	writeJSON(w, page)
 }
 
-// page returns the items behind a key, unless the store is down.
+// page returns the page of a listing that follows the key after; ok is false if the store
+// is down.
 func (s *Store) page(prefix, after string) (page map[string]any, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,21 +198,21 @@
 	return map[string]any{"items": items, "more_pages": more, "store_revision": s.revision}, true
 }
 
-func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(wait)*time.Millisecond)
 	defer cancel()
 	s.mu.Lock()
-	began := s.era
+	era := s.era
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
-		if s.era != began {
+		if s.era != era {
 			s.mu.Unlock()
-			panic(http.ErrAbortHandler) // a watch does not outlive its era
+			panic(http.ErrAbortHandler) // a restore cuts all open watches
 		}
-		down, gone, revision, changed := s.down, after < s.dropped || after > s.revision, s.revision, s.changed
+		down, compacted, revision, changed := s.down, after < s.compacted || after > s.revision, s.revision, s.changed
 		events := make([]StoreItem, 0)
 		for _, i := range s.history {
 			if i.Revision > after {
@@ -219,7 +224,7 @@
 		case down:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
-		case gone:
+		case compacted:
 			w.WriteHeader(http.StatusGone)
 			return
 		case len(events) > 0 || ctx.Err() != nil:
@@ -235,5 +240,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the reader is gone
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
--- a/standin/wire.go
+++ b/standin/wire.go
@@ -9,51 +9,55 @@
 	"time"
 )
 
-// SetClientHeaders sets what a client of the platform says of a request: its
-// name for the attempt and how long it waits.
+// SetClientHeaders sets the headers that a client of the platform sends with each
+// request: its ID for the attempt, and its timeout.
 func SetClientHeaders(h http.Header, id string, wait time.Duration) {
 	h.Set("Attempt-Id", id)
 	h.Set("Deadline-Ms", strconv.FormatInt(wait.Milliseconds(), 10))
 }
 
-// SetPromptHeaders sets what a client says of a generation: tokens of the
-// prompt, the most to generate, and the part of the prompt that is its own.
+// SetPromptHeaders sets the headers that a client sends with a generation: the
+// number of prompt tokens, the maximum number of output tokens, and the prefixes
+// of the prompt. The first 100 tokens are common to all sessions; the rest belongs
+// to the session.
 func SetPromptHeaders(h http.Header, prompt, output, session int) {
 	h.Set("Token-Count", fmt.Sprintf("%d,%d", prompt, output))
 	h.Set("Prompt-Prefix", fmt.Sprintf("c0:100,%x:%d", session, prompt-100))
 }
 
-// SetKey sets the key that a client presents.
+// SetKey sets the workspace key that a client presents.
 func SetKey(h http.Header, key string) { h.Set("Authorization", "Token "+key) }
 
-// WorkspaceEntry is one workspace as the operators publish it.
+// WorkspaceEntry is the store entry of a workspace, as published by the operators.
 type WorkspaceEntry struct {
 	Name        string   `json:"name"`
 	Keys        []string `json:"api_keys"`
 	Unit        string   `json:"unit"`
 	PlainTokens int      `json:"plain_tokens"`
-	// Rate and Burst are its limit in tokens, zero for none.
+	// Rate and Burst are the workspace's limit in tokens a second and in tokens;
+	// zero means no limit.
 	Rate  float64 `json:"rate_per_s"`
 	Burst float64 `json:"burst"`
 }
 
-// NewWorkspaceEntry returns a workspace without a limit whose plain calls count as some
-// tokens.
+// NewWorkspaceEntry returns the entry of a workspace without a limit, in which a plain
+// call counts as plainTokens tokens.
 func NewWorkspaceEntry(name string, plainTokens int, keys ...string) WorkspaceEntry {
 	return WorkspaceEntry{Name: name, Keys: keys, Unit: "tokens", PlainTokens: plainTokens}
 }
 
-// WorkerCall is a request as a worker of the platform reads it.
+// WorkerCall holds the headers of a request that a worker of the platform reads.
 type WorkerCall struct {
-	// ID names the client's attempt.
+	// ID is the ID of the attempt.
 	ID string
-	// Expected is the incarnation that the request is meant for.
+	// Expected is the incarnation of the worker that the request is meant for.
 	Expected string
-	// Workspace is whose request the system says it is, Key what a worker must not see.
+	// Workspace is the workspace that the router states. Key is the client's key, which
+	// the router must not forward.
 	Workspace, Key string
-	// Prefill asks for the prompt only.
+	// Prefill asks for the prefill only.
 	Prefill bool
-	// After is the number of the last event that the client has, 0 if none.
+	// After is the number of the last event that the client has received, 0 if none.
 	After int
 }
 
@@ -73,17 +77,18 @@
 	return c
 }
 
-// AnswerHead sets the headers of a worker's answer to a client's request.
+// AnswerHead sets the headers of a worker's answer to a client's request,
+// including its signature.
 func AnswerHead(h http.Header, id string) {
 	h.Set("Attempt-Id", id)
 	h.Set("Response-Signature", "signed")
 }
 
-// AnswerPrefill answers a request for the prompt only.
+// AnswerPrefill writes the answer to a prefill.
 func AnswerPrefill(w http.ResponseWriter) { _, _ = io.WriteString(w, `{"kv_handle":"kv"}`) }
 
-// AnswerOwn answers calls of an engine's own interface as one that has room
-// and caches nothing. It returns false for a client's request.
+// AnswerOwn answers calls of the engine API as an engine that has free memory and
+// an empty cache. It returns false, without an answer, for other requests.
 func AnswerOwn(w http.ResponseWriter, r *http.Request) bool {
 	switch {
 	case r.URL.Path == "/api/hold-take":
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -9,43 +9,44 @@
 	"time"
 )
 
-// WorkerRequest is one request as a Worker got it.
+// WorkerRequest records a request that a Worker received.
 type WorkerRequest struct {
 	Method, URI, Stage string
 	Header             http.Header
 	Body               string
 }
 
-// Worker stands in for a worker of the platform: it checks which incarnation
-// is meant, answers calls, computes prompts and streams events.
+// Worker simulates a worker of the platform. It checks the incarnation that a
+// request expects, and answers plain calls, prefills, streams of events and calls
+// of the engine API.
 type Worker struct {
-	// ID is its incarnation.
+	// ID is the worker's incarnation.
 	ID string
-	// Events is the number of events of a whole answer.
+	// Events is the number of events in a complete answer.
 	Events int
-	// EventPause is the time before each event.
+	// EventPause is the delay before each event.
 	EventPause time.Duration
-	// Answer, if set, answers plain calls in its own way; it returns false to
-	// leave the call to the worker.
+	// Answer, if set, is called for each request that is not of the engine API.
+	// It returns false if it has not answered, so that the worker does.
 	Answer func(w http.ResponseWriter, r *http.Request) bool
-	// BreakAfter, if above 0, breaks the stream off in the middle of the event
-	// after that many, once.
+	// BreakAfter, if above 0, aborts one stream in the middle of the event that
+	// follows this number of events.
 	BreakAfter int
-	// Leaving makes it say in each answer that it leaves.
+	// Leaving makes each answer state that the worker is draining.
 	Leaving bool
-	// Limit is what it says in each answer that it takes, in requests a second; empty for
-	// nothing.
+	// Limit is the limit that each answer advertises, in requests a second; empty
+	// advertises none.
 	Limit string
-	// Load, if set, returns what each answer says of its load.
+	// Load, if set, returns the load that each answer reports.
 	Load func() string
-	// RefuseResults makes it refuse prompts that were computed elsewhere.
+	// RefuseResults makes the worker refuse prefill results of other workers.
 	RefuseResults bool
 
 	mu       sync.Mutex
 	requests []WorkerRequest
 }
 
-// Requests returns what it got so far.
+// Requests returns the requests that the worker has received so far.
 func (k *Worker) Requests() []WorkerRequest {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -106,7 +107,7 @@
 		case <-r.Context().Done():
 			return
 		}
-		if k.breaks(i) {
+		if k.abortsAt(i) {
 			fmt.Fprintf(w, "id: %d\ndata: ha", i)
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
@@ -116,7 +117,7 @@
 	}
 }
 
-func (k *Worker) breaks(event int) bool {
+func (k *Worker) abortsAt(event int) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.BreakAfter == 0 || event <= k.BreakAfter {
