--- a/cmd/ebonypulley/inspect.go
+++ b/cmd/ebonypulley/inspect.go
@@ -35,9 +35,9 @@
 		lines = append(lines, more...)
 	}
 	if id := cmd.String("request"); id != "" {
-		return printStory(lines, id)
+		return printRequest(lines, id)
 	}
-	printCauses(inspect.Summary(lines))
+	printCauses(inspect.FailureCauses(lines))
 	return nil
 }
 
@@ -57,8 +57,8 @@
 	return lines, nil
 }
 
-func printStory(lines []inspect.Line, id string) error {
-	story := inspect.Story(lines, id)
+func printRequest(lines []inspect.Line, id string) error {
+	story := inspect.RequestLines(lines, id)
 	if len(story) == 0 {
 		return errorx.IllegalArgument.New("no line of request %s; lines of its time may have been left out (docs/OPERATIONS.md)", id)
 	}
--- a/event/catalogue.go
+++ b/event/catalogue.go
@@ -82,12 +82,12 @@
 	EndpointLeaving    = define(6021, zap.InfoLevel, "endpoint says that it leaves")
 	KeyRefused         = define(6022, zap.InfoLevel, "a caller without a published key is turned away")
 	EndpointLimited    = define(6023, zap.InfoLevel, "endpoint names another limit, or none any more")
-	// TrafficBetweenEntries is logged once a minute.
+	// TrafficBetweenEntries is emitted once a minute.
 	TrafficBetweenEntries = define(6024, zap.InfoLevel, "sent to other entries in the last minute")
 	DirectoryChanged      = define(6006, zap.InfoLevel, "published directory changed")
 )
 
-// Events of the platform's adapter: 7xxx.
+// Events of the platform adapter: 7xxx.
 var (
 	StoreUnreachable = define(7001, zap.WarnLevel, "store does not answer")
 	StoreReachable   = define(7002, zap.InfoLevel, "store answers again")
--- a/event/event.go
+++ b/event/event.go
@@ -1,6 +1,7 @@
-// Package event defines the numbered log events of all processes. Each event
-// has a number that never changes its meaning; docs/EVENTS.md is the
-// catalogue for those on call, and a test keeps the two equal.
+// Package event defines the numbered log events of all processes and writes
+// them as bounded, non-blocking structured logs. An event number never changes
+// its meaning. docs/EVENTS.md is the operators' catalogue of the events; a test
+// checks that it matches this package.
 package event
 
 import (
@@ -14,9 +15,9 @@
 
 // Event is one kind of log line.
 type Event struct {
-	// Number identifies the event in logs, alarms and docs/EVENTS.md.
+	// Number identifies the event in logs, alerts and docs/EVENTS.md.
 	Number int
-	// Level is the severity that it is always logged at.
+	// Level is the severity; an event always has the same one.
 	Level zapcore.Level
 	// Text is the constant message.
 	Text string
@@ -36,7 +37,7 @@
 	return e
 }
 
-// All returns every event, by number.
+// All returns all events, sorted by number.
 func All() []Event {
 	list := make([]Event, 0, len(defined))
 	for _, e := range defined {
@@ -54,7 +55,7 @@
 // NewLog returns a log that writes to z.
 func NewLog(z *zap.Logger) *Log { return &Log{z: z} }
 
-// Nop returns a log that writes nothing but still counts events.
+// Nop returns a log that counts events but writes nothing.
 func Nop() *Log { return NewLog(zap.NewNop()) }
 
 // With returns a log that adds fields to each event.
@@ -62,8 +63,8 @@
 	return &Log{z: l.z.With(fields...)}
 }
 
-// Err is the field of an error: its text, without the stack that an errorx
-// error would add to each line.
+// Err returns the log field of an error: its message, without the stack trace
+// that zap.Error would add for an errorx error. A nil error adds no field.
 func Err(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -15,7 +15,7 @@
 	"ebonypulley/event"
 )
 
-// TestCatalogue keeps docs/EVENTS.md equal to the code.
+// TestCatalogue checks that docs/EVENTS.md lists exactly the events of the code.
 func TestCatalogue(t *testing.T) {
 	text, err := os.ReadFile("../docs/EVENTS.md")
 	require.NoError(t, err)
@@ -38,5 +38,5 @@
 	log.Emit(event.CallerGone)
 	assert.Contains(t, out.String(), `"event":2003`)
 	assert.Contains(t, out.String(), `"generation":4`)
-	assert.NotContains(t, out.String(), "4005", "debug events are below the level")
+	assert.NotContains(t, out.String(), "4005", "debug events are below the log level")
 }
--- a/event/sink.go
+++ b/event/sink.go
@@ -11,83 +11,83 @@
 )
 
 const (
-	// queueLines is how many log lines may wait for a slow reader of the
-	// output: some seconds of the bounded volume.
-	queueLines = 4096
-	// goodPerSecond and badPerSecond bound the lines of one event in a second;
-	// of those beyond, one in keepEvery is written. Lines of warnings and
-	// errors have the larger share, so that a decision that ended a request
-	// badly is not left out before one that went well.
-	goodPerSecond = 60
-	badPerSecond  = 400
-	keepEvery     = 100
+	// queueCapacity is the number of log lines that may wait for a slow reader
+	// of the output: several seconds of output at the sampled rate.
+	queueCapacity = 4096
+	// infoPerSecond and warnPerSecond limit the lines of one event per second,
+	// below and from the warn level; beyond the limit, one line in sampleEvery
+	// is written. Warnings and errors have the higher limit, so that the line
+	// that explains a failed request is not dropped before lines of requests
+	// that succeeded.
+	infoPerSecond = 60
+	warnPerSecond = 400
+	sampleEvery   = 100
 )
 
 var (
-	// droppedLines counts lines that found the queue full, sampledLines those
-	// beyond their event's share.
+	// droppedLines counts lines dropped because the queue was full or the write
+	// failed; sampledLines counts lines left out by sampling.
 	droppedLines = expvar.NewInt("log_lines_dropped")
 	sampledLines = expvar.NewInt("log_lines_sampled")
 )
 
-// queue is a writer that never blocks: a line that finds it full is dropped
-// and counted.
-//
-// Whoever reads the output stops reading. It shows as
-// a process that stands still in the middle of requests.
-type queue struct {
+// lineQueue is a writer that never blocks: if the queue is full, the line is
+// dropped and counted. Without it, a reader of the output that stops reading
+// would block the process in the middle of requests.
+type lineQueue struct {
 	lines chan []byte
-	// unwritten counts lines that are queued or being written.
-	unwritten atomic.Int64
+	// pending is the number of lines queued or being written.
+	pending atomic.Int64
 }
 
-func newQueue(w io.Writer) *queue {
-	q := &queue{lines: make(chan []byte, queueLines)}
+func newLineQueue(w io.Writer) *lineQueue {
+	q := &lineQueue{lines: make(chan []byte, queueCapacity)}
 	go q.run(w)
 	return q
 }
 
-func (q *queue) run(w io.Writer) {
+func (q *lineQueue) run(w io.Writer) {
 	for line := range q.lines {
 		if _, err := w.Write(line); err != nil {
 			droppedLines.Add(1)
 		}
-		q.unwritten.Add(-1)
+		q.pending.Add(-1)
 	}
 }
 
-// Write implements io.Writer; the bytes are copied because zap uses them again.
-func (q *queue) Write(line []byte) (int, error) {
-	q.unwritten.Add(1)
+// Write implements io.Writer. It copies the line because zap reuses the buffer.
+func (q *lineQueue) Write(line []byte) (int, error) {
+	q.pending.Add(1)
 	select {
 	case q.lines <- append([]byte(nil), line...):
 	default:
-		q.unwritten.Add(-1)
+		q.pending.Add(-1)
 		droppedLines.Add(1)
 	}
 	return len(line), nil
 }
 
-// Sync waits, for a bounded time, until all lines are written. An empty queue
-// is not enough: the last line may have left it and not be written yet.
-func (q *queue) Sync() error {
-	const patience = 200 * time.Millisecond
-	for until := time.Now().Add(patience); q.unwritten.Load() > 0 && time.Now().Before(until); {
+// Sync waits, for at most 200 ms, until all lines are written. It checks
+// pending because an empty channel is not enough: the last line may have been
+// received from it but not yet written.
+func (q *lineQueue) Sync() error {
+	const timeout = 200 * time.Millisecond
+	for deadline := time.Now().Add(timeout); q.pending.Load() > 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	return nil
 }
 
-// NewOutput returns a log of JSON lines on w from a level on, bounded in
-// volume and never blocking.
+// NewOutput returns a log that writes events of at least the given level to w
+// as JSON lines, sampled and without blocking.
 func NewOutput(w io.Writer, level zapcore.Level) *Log {
 	enc := zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig())
-	out := newQueue(w)
-	good := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l >= level && l < zapcore.WarnLevel })
-	bad := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l >= level && l >= zapcore.WarnLevel })
+	out := newLineQueue(w)
+	belowWarn := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l >= level && l < zapcore.WarnLevel })
+	fromWarn := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l >= level && l >= zapcore.WarnLevel })
 	core := zapcore.NewTee(
-		sampled(zapcore.NewCore(enc, out, good), goodPerSecond),
-		sampled(zapcore.NewCore(enc, out, bad), badPerSecond),
+		sampled(zapcore.NewCore(enc, out, belowWarn), infoPerSecond),
+		sampled(zapcore.NewCore(enc, out, fromWarn), warnPerSecond),
 	)
 	return NewLog(zap.New(core))
 }
@@ -98,8 +98,8 @@
 			sampledLines.Add(1)
 		}
 	})
-	return zapcore.NewSamplerWithOptions(core, time.Second, perSecond, keepEvery, count)
+	return zapcore.NewSamplerWithOptions(core, time.Second, perSecond, sampleEvery, count)
 }
 
-// Sync writes out what is queued.
+// Sync waits, for a bounded time, until queued lines are written.
 func (l *Log) Sync() { _ = l.z.Sync() }
--- a/event/sink_test.go
+++ b/event/sink_test.go
@@ -14,21 +14,22 @@
 	"ebonypulley/event"
 )
 
-type slowWriter struct {
+// lockedBuffer is a writer that blocks while its mutex is held.
+type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (w *slowWriter) Write(b []byte) (int, error) {
+func (w *lockedBuffer) Write(b []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.buf.Write(b)
 }
 
-// TestBlockedOutput: the process stands still in the middle of requests.
-// Nobody reads its log any more; lines are dropped instead.
+// TestBlockedOutput: nothing reads the log output any more. Lines must be
+// dropped; otherwise the process would block in the middle of requests.
 func TestBlockedOutput(t *testing.T) {
-	w := new(slowWriter)
+	w := new(lockedBuffer)
 	w.mu.Lock()
 	log := event.NewOutput(w, zapcore.InfoLevel)
 	began := time.Now()
@@ -42,10 +43,11 @@
 	w.mu.Unlock()
 }
 
-// TestBadBeforeGood: the one line that explains a complaint is missing. Under
-// load lines are left out, those of requests that went well first.
-func TestBadBeforeGood(t *testing.T) {
-	w := new(slowWriter)
+// TestWarningsAreSampledLess: under load, sampling drops lines of successful
+// requests before those of failed ones. Otherwise the line that explains a
+// failed request could be missing.
+func TestWarningsAreSampledLess(t *testing.T) {
+	w := new(lockedBuffer)
 	log := event.NewOutput(w, zapcore.InfoLevel)
 	for range 300 {
 		log.Emit(event.RequestAnswered, zap.String("request", "1"))
@@ -60,24 +62,25 @@
 }
 
 func BenchmarkEmit(b *testing.B) {
-	log := event.NewOutput(new(slowWriter), zapcore.InfoLevel)
+	log := event.NewOutput(new(lockedBuffer), zapcore.InfoLevel)
 	for b.Loop() {
 		log.Emit(event.RequestGivenUp, zap.String("request", "9c41d07be2a35f68"), zap.Duration("took", time.Second))
 	}
 }
 
-// lateWriter takes its time over each line.
-type lateWriter struct{ slowWriter }
+// delayedWriter takes 30 ms to write each line.
+type delayedWriter struct{ lockedBuffer }
 
-func (w *lateWriter) Write(b []byte) (int, error) {
+func (w *delayedWriter) Write(b []byte) (int, error) {
 	time.Sleep(30 * time.Millisecond)
-	return w.slowWriter.Write(b)
+	return w.lockedBuffer.Write(b)
 }
 
-// TestLastLineIsWritten: the line that says why a process stopped is missing.
-// It had left the queue and was not written when the process ended.
-func TestLastLineIsWritten(t *testing.T) {
-	w := new(lateWriter)
+// TestSyncWaitsForLastLine: Sync must wait for a line that has left the queue
+// but is not written yet. Otherwise the line that says why a process stopped
+// could be missing when the process exits.
+func TestSyncWaitsForLastLine(t *testing.T) {
+	w := new(delayedWriter)
 	log := event.NewOutput(w, zapcore.InfoLevel)
 	log.Emit(event.Stopped)
 	time.Sleep(5 * time.Millisecond) // the line has left the queue
--- a/inspect/inspect.go
+++ b/inspect/inspect.go
@@ -1,5 +1,5 @@
-// Package inspect reads the logs of several processes and tells what happened
-// to a request, and why requests failed.
+// Package inspect analyses the logs of several processes: it collects the
+// lines of one request and groups failed requests by cause.
 package inspect
 
 import (
@@ -15,21 +15,21 @@
 	"ebonypulley/event"
 )
 
-// Line is one log line.
+// Line is one parsed log line.
 type Line struct {
 	At      time.Time
 	Process string
 	Event   int
 	Text    string
 	Request string
-	// Fields are the line's other fields, in the order of their names.
+	// Fields are the line's other fields, sorted by name.
 	Fields []Field
 }
 
-// Field is one field of a line, rendered.
+// Field is one log field, with its value formatted as text.
 type Field struct{ Name, Value string }
 
-// Value returns a field's value, empty if it is not there.
+// Value returns the value of the named field, or "" if the line has none.
 func (l *Line) Value(name string) string {
 	for _, f := range l.Fields {
 		if f.Name == name {
@@ -39,15 +39,15 @@
 	return ""
 }
 
-// known are the fields that a Line has by itself.
-var known = []string{"ts", "level", "msg", "event", "entry", "agent", "request"}
+// lineKeys are the log keys that are left out of Line.Fields.
+var lineKeys = []string{"ts", "level", "msg", "event", "entry", "agent", "request"}
 
-// maxLine bounds a log line in bytes.
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
-// Read reads log lines. Text before the first brace of a line, such as a
-// collector's prefix, is skipped; lines without an event are left out and
-// counted.
+// Read parses log lines. Text before the first brace of a line, such as the
+// prefix of a log collector, is ignored. Lines that are not events are left
+// out, and skipped is their number.
 func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	scan := bufio.NewScanner(r)
 	scan.Buffer(make([]byte, 0, 64<<10), maxLine)
@@ -75,20 +75,20 @@
 	if !ok {
 		return Line{}, false
 	}
-	l := Line{Event: int(number), Text: str(raw["msg"]), Request: str(raw["request"]), Process: str(raw["entry"]) + str(raw["agent"])}
+	l := Line{Event: int(number), Text: formatValue(raw["msg"]), Request: formatValue(raw["request"]), Process: formatValue(raw["entry"]) + formatValue(raw["agent"])}
 	if ts, ok := raw["ts"].(float64); ok {
 		l.At = time.Unix(0, int64(ts*float64(time.Second)))
 	}
 	for name, value := range raw {
-		if !slices.Contains(known, name) {
-			l.Fields = append(l.Fields, Field{name, str(value)})
+		if !slices.Contains(lineKeys, name) {
+			l.Fields = append(l.Fields, Field{name, formatValue(value)})
 		}
 	}
 	slices.SortFunc(l.Fields, func(a, b Field) int { return strings.Compare(a.Name, b.Name) })
 	return l, true
 }
 
-func str(v any) string {
+func formatValue(v any) string {
 	switch v := v.(type) {
 	case nil:
 		return ""
@@ -101,19 +101,20 @@
 	}
 }
 
-// Story returns the lines of one request in the order of their time.
-func Story(lines []Line, request string) []Line {
-	var story []Line
+// RequestLines returns the lines of one request, sorted by time.
+func RequestLines(lines []Line, request string) []Line {
+	var found []Line
 	for _, l := range lines {
 		if l.Request == request {
-			story = append(story, l)
+			found = append(found, l)
 		}
 	}
-	slices.SortStableFunc(story, func(a, b Line) int { return a.At.Compare(b.At) })
-	return story
+	slices.SortStableFunc(found, func(a, b Line) int { return a.At.Compare(b.At) })
+	return found
 }
 
-// Cause is why requests failed, with how many did and one of them.
+// Cause is a reason why requests failed, with the number of these requests
+// and the ID of one of them.
 type Cause struct {
 	Event   int
 	Text    string
@@ -123,18 +124,18 @@
 	Example string
 }
 
-// failures are the events that end a request badly.
-var failures = []int{event.RequestGivenUp.Number, event.AnswerBroken.Number}
+// failureEvents are the numbers of the events that end a request in failure.
+var failureEvents = []int{event.RequestGivenUp.Number, event.AnswerBroken.Number}
 
-// Summary groups the failed requests by cause, most first.
-func Summary(lines []Line) []Cause {
+// FailureCauses groups failed requests by cause, the most frequent first.
+func FailureCauses(lines []Line) []Cause {
 	byKey := make(map[string]*Cause)
 	for i := range lines {
 		l := &lines[i]
-		if !slices.Contains(failures, l.Event) {
+		if !slices.Contains(failureEvents, l.Event) {
 			continue
 		}
-		c := Cause{Event: l.Event, Text: l.Text, Why: l.Value("why"), Error: kindOf(l.Value("error")), Example: l.Request}
+		c := Cause{Event: l.Event, Text: l.Text, Why: l.Value("why"), Error: errorCause(l.Value("error")), Example: l.Request}
 		key := fmt.Sprint(c.Event, c.Why, c.Error)
 		if byKey[key] == nil {
 			byKey[key] = &c
@@ -154,9 +155,10 @@
 	return list
 }
 
-// kindOf shortens an error to its type and its last cause, without what is
-// particular to one request.
-func kindOf(text string) string {
+// errorCause shortens an error message to its type and innermost cause. A cause
+// that contains digits is left out, because it is likely to differ from request
+// to request.
+func errorCause(text string) string {
 	kind, _, _ := strings.Cut(text, ":")
 	parts := strings.Split(text, ": ")
 	if last := parts[len(parts)-1]; len(parts) > 1 && !strings.ContainsAny(last, "0123456789") {
--- a/inspect/inspect_test.go
+++ b/inspect/inspect_test.go
@@ -18,23 +18,24 @@
 not a log line
 `
 
-// TestStory: a user complains about a request that met two entries. Its lines
-// are told in order, whichever file and prefix they stand behind.
-func TestStory(t *testing.T) {
+// TestRequestLinesAcrossProcesses: the lines of a request that was handled by
+// two entries are returned in order of time, whatever prefix they have and
+// whatever order they were read in.
+func TestRequestLinesAcrossProcesses(t *testing.T) {
 	lines, skipped, err := inspect.Read(strings.NewReader(logs))
 	require.NoError(t, err)
 	assert.Equal(t, 1, skipped)
-	story := inspect.Story(lines, "a")
-	require.Len(t, story, 2)
-	assert.Equal(t, 6004, story[0].Event)
-	assert.Equal(t, "0.98", story[0].Value("fill"))
-	assert.Equal(t, "edge-2", story[1].Process)
+	found := inspect.RequestLines(lines, "a")
+	require.Len(t, found, 2)
+	assert.Equal(t, 6004, found[0].Event)
+	assert.Equal(t, "0.98", found[0].Value("fill"))
+	assert.Equal(t, "edge-2", found[1].Process)
 }
 
-func TestSummary(t *testing.T) {
+func TestFailureCauses(t *testing.T) {
 	lines, _, err := inspect.Read(strings.NewReader(logs))
 	require.NoError(t, err)
-	causes := inspect.Summary(lines)
+	causes := inspect.FailureCauses(lines)
 	require.Len(t, causes, 2)
 	assert.Equal(t, 2, causes[0].Count)
 	assert.Equal(t, "router.not-run.no-endpoint: no engine of llm has room", causes[0].Error)
--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,6 +1,6 @@
-// Package fixedseed makes property tests draw the same histories each time,
-// so that CI gives the same verdict for the same commit. The flag -rapid.seed
-// still overrides it.
+// Package fixedseed gives property tests a fixed seed, so that CI gives the
+// same result for the same commit. The flag -rapid.seed still overrides it. It
+// also keeps rapid from writing files with failing inputs.
 package fixedseed
 
 import (
--- a/internal/simnet/simnet.go
+++ b/internal/simnet/simnet.go
@@ -1,6 +1,6 @@
-// Package simnet is a network in memory whose connections can be cut, made
-// silent, delayed and partitioned. Tests run the real daemons over it in
-// virtual time.
+// Package simnet is an in-memory network for tests that run the real daemons in
+// virtual time. Its connections can be cut, silenced, delayed, partitioned and
+// limited in bandwidth.
 package simnet
 
 import (
@@ -14,42 +14,45 @@
 	"ebonypulley"
 )
 
-// Net is a network. Processes on it are told apart by name, not by address.
+// Net is a simulated network. It identifies processes by name, not by address.
 type Net struct {
-	// Latency is one way, for each piece of data.
+	// Latency is the one-way delay of each chunk of data.
 	Latency time.Duration
 
 	mu        sync.Mutex
 	listeners map[string]*listener
-	links     map[*link]struct{}
-	// split holds the processes of one side of a partition.
-	split map[string]bool
-	// rate returns the bytes a second of a process's own link, if links are
-	// limited.
+	conns     map[*conn]struct{}
+	// isolated holds the processes on one side of a partition; nil without one.
+	isolated map[string]bool
+	// rate returns the bandwidth of a process's network link in bytes per
+	// second, 0 for unlimited. It is nil if no link is limited.
 	rate func(process string) float64
-	// free is when each direction of a limited link has sent what it took.
-	free map[direction]time.Time
-	// carried counts the bytes that each direction of a process's link took.
-	carried map[direction]int64
+	// busyUntil is when each direction of a limited link will have transmitted
+	// all data given to it.
+	busyUntil map[direction]time.Time
+	// bytes counts the bytes transmitted in each direction of a process's link.
+	bytes map[direction]int64
 }
 
-// direction is one way of a process's own link.
+// direction is one direction of the network link of a process, which all
+// connections of that process share.
 type direction struct {
 	process string
-	in      bool
+	inbound bool
 }
 
 // New returns a network without faults.
 func New() *Net {
 	return &Net{
-		listeners: make(map[string]*listener), links: make(map[*link]struct{}),
-		free: make(map[direction]time.Time), carried: make(map[direction]int64),
+		listeners: make(map[string]*listener), conns: make(map[*conn]struct{}),
+		busyUntil: make(map[direction]time.Time), bytes: make(map[direction]int64),
 	}
 }
 
 var (
 	netErrors = errorx.NewNamespace("simnet")
-	// ErrRefused is returned for an address that nobody listens on.
+	// ErrRefused is returned for an address that no process listens on, and by
+	// Listen for one that is in use.
 	ErrRefused = netErrors.NewType("refused")
 )
 
@@ -62,7 +65,7 @@
 	once    sync.Once
 }
 
-// Listen opens an address for a process.
+// Listen returns a listener of the process on addr.
 func (n *Net) Listen(process, addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,18 +86,18 @@
 	}
 }
 
-// Close implements net.Listener. The address is free before Accept returns, because a process may
-// end with that and its successor listen at once.
+// Close implements net.Listener. It frees the address before Accept returns,
+// because the process may then exit and its successor listen immediately.
 func (l *listener) Close() error {
 	l.once.Do(func() {
-		l.net.release(l)
+		l.net.removeListener(l)
 		close(l.closed)
 	})
 	return nil
 }
 
-// release lets others listen on the address of a listener.
-func (n *Net) release(l *listener) {
+// removeListener frees the address of a listener.
+func (n *Net) removeListener(l *listener) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.listeners[l.addr] == l {
@@ -109,44 +112,45 @@
 
 func (l *listener) Addr() net.Addr { return address(l.addr) }
 
-// link is one connection. Each side speaks through a pipe to a pump, which
-// carries the bytes to the other side's pipe unless the link is silent.
-type link struct {
-	from, to string
-	ends     [4]net.Conn
-	mu       sync.Mutex
-	silent   bool
+// conn is one connection. Each side has a pipe to a pump, which copies the
+// bytes to the pipe of the other side unless the connection is silent.
+type conn struct {
+	client, server string
+	ends           [4]net.Conn
+	mu             sync.Mutex
+	silent         bool
 }
 
-func (k *link) close() {
-	for _, c := range k.ends {
-		_ = c.Close()
+func (c *conn) close() {
+	for _, end := range c.ends {
+		_ = end.Close()
 	}
 }
 
-func (k *link) isSilent() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.silent
+func (c *conn) isSilent() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.silent
 }
 
-func (k *link) mute() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.silent = true
+func (c *conn) silence() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.silent = true
 }
 
-// dialTimeout bounds a connection attempt, as the daemons' TCP dialer does.
+// dialTimeout is the timeout of a connection attempt, the same as that of the
+// daemons' TCP dialer.
 const dialTimeout = time.Second
 
-// Dialer returns the dialer of a process.
+// Dialer returns a dialer for connections from a process.
 func (n *Net) Dialer(process string) ebonypulley.Dialer {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
 		n.mu.Lock()
 		l := n.listeners[addr]
-		lost := l != nil && n.parted(process, l.process)
+		lost := l != nil && n.partitioned(process, l.process)
 		n.mu.Unlock()
 		if lost {
 			<-ctx.Done()
@@ -160,40 +164,40 @@
 }
 
 func (n *Net) connect(ctx context.Context, process string, l *listener) (net.Conn, error) {
-	k := &link{from: process, to: l.process}
-	near, nearPump := net.Pipe()
-	far, farPump := net.Pipe()
-	k.ends = [4]net.Conn{near, nearPump, far, farPump}
+	c := &conn{client: process, server: l.process}
+	clientEnd, clientPump := net.Pipe()
+	serverEnd, serverPump := net.Pipe()
+	c.ends = [4]net.Conn{clientEnd, clientPump, serverEnd, serverPump}
 	select {
-	case l.accept <- far:
+	case l.accept <- serverEnd:
 	case <-l.closed:
 		return nil, &net.OpError{Op: "dial", Net: "sim", Err: net.ErrClosed}
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	n.mu.Lock()
-	n.links[k] = struct{}{}
+	n.conns[c] = struct{}{}
 	n.mu.Unlock()
-	go n.pump(k, nearPump, farPump, k.from, k.to)
-	go n.pump(k, farPump, nearPump, k.to, k.from)
-	return near, nil
+	go n.pump(c, clientPump, serverPump, c.client, c.server)
+	go n.pump(c, serverPump, clientPump, c.server, c.client)
+	return clientEnd, nil
 }
 
-// pumpBuffer is one turn of a connection on a limited link: small, so that
-// connections share it evenly.
-const pumpBuffer = 4 << 10
+// pumpBytes is the number of bytes that a connection sends at once on a limited
+// link. It is small so that the connections share the link evenly.
+const pumpBytes = 4 << 10
 
-func (n *Net) pump(k *link, from, to net.Conn, sender, receiver string) {
-	defer n.end(k)
-	buf := make([]byte, pumpBuffer)
+func (n *Net) pump(c *conn, from, to net.Conn, sender, receiver string) {
+	defer n.closeConn(c)
+	buf := make([]byte, pumpBytes)
 	for {
 		read, err := from.Read(buf)
 		if n.Latency > 0 {
 			time.Sleep(n.Latency)
 		}
-		n.carry(direction{process: sender}, read)
-		n.carry(direction{process: receiver, in: true}, read)
-		if k.isSilent() {
+		n.transmit(direction{process: sender}, read)
+		n.transmit(direction{process: receiver, inbound: true}, read)
+		if c.isSilent() {
 			if err != nil {
 				return
 			}
@@ -210,86 +214,88 @@
 	}
 }
 
-// Limit sets the bytes a second that a process's own link carries in each
-// direction, for all its connections together; 0 is unlimited.
+// Limit sets the bandwidth of each process's network link, in bytes per second
+// in each direction for all connections of the process together; 0 is unlimited.
 func (n *Net) Limit(rate func(process string) float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rate = rate
 }
 
-// carry takes the time that bytes need on one way of a process's own link.
-func (n *Net) carry(d direction, bytes int) { time.Sleep(n.take(d, bytes)) }
+// transmit waits until the link has transmitted bytes in direction d.
+func (n *Net) transmit(d direction, bytes int) { time.Sleep(n.reserve(d, bytes)) }
 
-// take returns how long bytes need on one way, behind those before them.
-func (n *Net) take(d direction, bytes int) time.Duration {
+// reserve queues bytes for direction d and returns how long they take,
+// including the wait for the bytes queued before them.
+func (n *Net) reserve(d direction, bytes int) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.carried[d] += int64(bytes)
+	n.bytes[d] += int64(bytes)
 	if n.rate == nil || n.rate(d.process) == 0 {
 		return 0
 	}
 	now := time.Now()
-	began := n.free[d]
-	if began.Before(now) {
-		began = now
+	start := n.busyUntil[d]
+	if start.Before(now) {
+		start = now
 	}
-	done := began.Add(time.Duration(float64(bytes) / n.rate(d.process) * float64(time.Second)))
-	n.free[d] = done
+	done := start.Add(time.Duration(float64(bytes) / n.rate(d.process) * float64(time.Second)))
+	n.busyUntil[d] = done
 	return done.Sub(now)
 }
 
-// Carried returns the bytes that came in on a process's own link.
+// Carried returns the number of bytes received on a process's link.
 func (n *Net) Carried(process string) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.carried[direction{process: process, in: true}]
+	return n.bytes[direction{process: process, inbound: true}]
 }
 
-// end closes a link. The far side of a silent one learns nothing of it.
-func (n *Net) end(k *link) {
-	if k.isSilent() {
+// closeConn closes a connection. A silent one stays open, so that the other
+// side does not notice.
+func (n *Net) closeConn(c *conn) {
+	if c.isSilent() {
 		return
 	}
 	n.mu.Lock()
-	delete(n.links, k)
+	delete(n.conns, c)
 	n.mu.Unlock()
-	k.close()
+	c.close()
 }
 
-func (n *Net) parted(a, b string) bool {
-	return n.split != nil && n.split[a] != n.split[b]
+func (n *Net) partitioned(a, b string) bool {
+	return n.isolated != nil && n.isolated[a] != n.isolated[b]
 }
 
-func (n *Net) match(choose func(*link) bool) []*link {
+func (n *Net) connsWhere(choose func(*conn) bool) []*conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var list []*link
-	for k := range n.links {
-		if choose(k) {
-			list = append(list, k)
+	var list []*conn
+	for c := range n.conns {
+		if choose(c) {
+			list = append(list, c)
 		}
 	}
 	return list
 }
 
-func touches(process string) func(*link) bool {
-	return func(k *link) bool { return k.from == process || k.to == process }
+func ofProcess(process string) func(*conn) bool {
+	return func(c *conn) bool { return c.client == process || c.server == process }
 }
 
-func between(a, b string) func(*link) bool {
-	return func(k *link) bool { return k.from == a && k.to == b || k.from == b && k.to == a }
+func between(a, b string) func(*conn) bool {
+	return func(c *conn) bool { return c.client == a && c.server == b || c.client == b && c.server == a }
 }
 
-// Crash closes all that a process had open.
+// Crash closes all connections and listeners of a process.
 func (n *Net) Crash(process string) {
-	for _, k := range n.match(touches(process)) {
-		k.close()
+	for _, c := range n.connsWhere(ofProcess(process)) {
+		c.close()
 	}
 	n.closeListeners(process)
 }
 
-// closeListeners closes those of a process, or all for an empty name.
+// closeListeners closes the listeners of a process, or all if the name is empty.
 func (n *Net) closeListeners(process string) {
 	n.mu.Lock()
 	var open []*listener
@@ -304,52 +310,52 @@
 	}
 }
 
-// Vanish takes a process off the network without a word: its connections go
-// silent, as after a power cut.
+// Vanish disconnects a process from the network without notice: its connections
+// go silent, as after a power failure.
 func (n *Net) Vanish(process string) {
-	for _, k := range n.match(touches(process)) {
-		k.mute()
+	for _, c := range n.connsWhere(ofProcess(process)) {
+		c.silence()
 	}
 	n.closeListeners(process)
 }
 
-// Cut closes the connections between two processes; new ones work.
+// Cut closes the connections between two processes; they can connect again.
 func (n *Net) Cut(a, b string) {
-	for _, k := range n.match(between(a, b)) {
-		k.close()
+	for _, c := range n.connsWhere(between(a, b)) {
+		c.close()
 	}
 }
 
-// Silence makes the open connections between two processes silent for good;
-// new ones work.
+// Silence makes the open connections between two processes silent for good: no
+// more data arrives, but they stay open. New connections work.
 func (n *Net) Silence(a, b string) {
-	for _, k := range n.match(between(a, b)) {
-		k.mute()
+	for _, c := range n.connsWhere(between(a, b)) {
+		c.silence()
 	}
 }
 
-// Partition parts the named processes from all others: open connections
-// between the sides go silent for good, new ones are not had. No names heal
-// the network.
+// Partition separates the named processes from all others: open connections
+// between the two sides go silent for good, and new ones time out. Without
+// names it heals the partition.
 func (n *Net) Partition(names ...string) {
 	n.mu.Lock()
-	n.split = nil
+	n.isolated = nil
 	if len(names) > 0 {
-		n.split = make(map[string]bool)
+		n.isolated = make(map[string]bool)
 		for _, name := range names {
-			n.split[name] = true
+			n.isolated[name] = true
 		}
 	}
 	n.mu.Unlock()
-	for _, k := range n.match(func(k *link) bool { return n.parted(k.from, k.to) }) {
-		k.mute()
+	for _, c := range n.connsWhere(func(c *conn) bool { return n.partitioned(c.client, c.server) }) {
+		c.silence()
 	}
 }
 
-// Close ends every connection and listener.
+// Close closes all connections and listeners.
 func (n *Net) Close() {
-	for _, k := range n.match(func(*link) bool { return true }) {
-		k.close()
+	for _, c := range n.connsWhere(func(*conn) bool { return true }) {
+		c.close()
 	}
 	n.closeListeners("")
 }
--- a/internal/simnet/simnet_test.go
+++ b/internal/simnet/simnet_test.go
@@ -8,14 +8,15 @@
 	"ebonypulley/internal/simnet"
 )
 
-// TestSuccessorListensAtOnce: a process ends when its listener is closed, and its successor finds
-// the address in use.
-func TestSuccessorListensAtOnce(t *testing.T) {
+// TestAddressIsFreeAfterClose: a process exits when Accept reports that its
+// listener is closed. Its successor must then be able to listen on the address;
+// a Close that freed it later would fail the successor with "in use".
+func TestAddressIsFreeAfterClose(t *testing.T) {
 	const successors = 20000
 	n := simnet.New()
 	done := make(chan struct{})
 	defer close(done)
-	for range 4 { // others use the network meanwhile
+	for range 4 { // contend for the network's mutex
 		go func() {
 			for {
 				select {
@@ -30,12 +31,12 @@
 	for range successors {
 		ln, err := n.Listen("process", "process:1")
 		require.NoError(t, err)
-		ended := make(chan struct{})
+		exited := make(chan struct{})
 		go func() {
-			defer close(ended)
-			_, _ = ln.Accept() // it returns when the listener is closed
+			defer close(exited)
+			_, _ = ln.Accept() // returns when the listener is closed
 		}()
 		go func() { _ = ln.Close() }()
-		<-ended
+		<-exited
 	}
 }
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant asserts, inside the running program, what must always
-// hold. In production a violation is an error event and a counter; in tests
-// and soak runs a handler turns it into a failure.
+// Package invariant checks the system's invariants at run time. In production
+// a violation is logged as an error event and counted; in tests and soak runs a
+// handler turns it into a failure.
 package invariant
 
 import (
@@ -18,25 +18,28 @@
 	SingleStart Rule = "single-start"
 	// SingleAnswer: a request is answered at most once.
 	SingleAnswer Rule = "single-answer"
-	// ContiguousChunks: tokens reach the caller without gap or repetition.
+	// ContiguousChunks: tokens reach the caller without gaps or duplicates.
 	ContiguousChunks Rule = "contiguous-chunks"
-	// ProvenNotRun: "not-run" is only said with proof.
+	// ProvenNotRun: an attempt is reported as not run only if it provably did
+	// not run.
 	ProvenNotRun Rule = "proven-not-run"
-	// GrantWithinMemory: an agent never grants more than the engine holds.
+	// GrantWithinMemory: an agent never grants more requests or KV tokens than
+	// its endpoint has room for.
 	GrantWithinMemory Rule = "grant-within-memory"
-	// LiveHolder: no lease outlives its holder by more than the lease time.
+	// LiveHolder: no lease outlives its holder by more than the lease TTL.
 	LiveHolder Rule = "live-holder"
 	// NoGrantAfterDrain: a draining agent grants nothing.
 	NoGrantAfterDrain Rule = "no-grant-after-drain"
-	// MonotoneGeneration: the generation in force never decreases.
+	// MonotoneGeneration: the generation of the current configuration never
+	// decreases.
 	MonotoneGeneration Rule = "monotone-generation"
 	// RetryBudget: retries stay within the retry budget.
 	RetryBudget Rule = "retry-budget"
-	// PaidHeadroom: trial work never takes the headroom kept for paid work.
+	// PaidHeadroom: trial work never uses the headroom reserved for paid work.
 	PaidHeadroom Rule = "paid-headroom"
 )
 
-// Handler is told of each violation.
+// Handler is called for each violation.
 type Handler func(rule Rule, detail string)
 
 var (
@@ -45,15 +48,15 @@
 	handler    atomic.Pointer[Handler]
 )
 
-// SetHandler installs h for the process and returns a function that restores
-// the previous handler.
+// SetHandler installs h for the whole process and returns a function that
+// restores the previous handler.
 func SetHandler(h Handler) (restore func()) {
 	old := handler.Swap(&h)
 	return func() { handler.Store(old) }
 }
 
-// Check records a violation of rule when ok is false and returns ok. The
-// detail is only formatted on a violation.
+// Check records a violation of rule if ok is false, and returns ok. The detail
+// is formatted only on a violation.
 func Check(ok bool, rule Rule, format string, args ...any) bool {
 	if ok {
 		return true
@@ -66,5 +69,5 @@
 	return false
 }
 
-// Violations returns how many violations this process has seen.
+// Violations returns the number of violations in this process.
 func Violations() int64 { return total.Load() }
