--- a/cmd/ebonypulley/check.go
+++ b/cmd/ebonypulley/check.go
@@ -58,6 +58,8 @@
 	return true, nil
 }
 
+// readDocument reads and parses a configuration document. Errors among its
+// findings are returned as an error.
 func readDocument(file string) (*config.Document, []byte, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -125,6 +127,8 @@
 	return nil
 }
 
+// writeSettings writes the settings file of one process and prints its line of
+// the plan.
 func writeSettings(dir, role, name, addr string, v any) error {
 	text, err := settings.Format(v)
 	if err != nil {
--- a/cmd/ebonypulley/daemon.go
+++ b/cmd/ebonypulley/daemon.go
@@ -28,8 +28,8 @@
 	"ebonypulley/standin"
 )
 
-// newLog returns a log of JSON lines on standard output and reports invariant
-// violations to it.
+// newLog returns a log that writes JSON lines to standard output, and logs
+// invariant violations to it.
 func newLog(cmd *cli.Command) (*event.Log, error) {
 	level, err := zapcore.ParseLevel(cmd.String("log-level"))
 	if err != nil {
@@ -42,34 +42,36 @@
 	return log, nil
 }
 
-// caught are the signals that a daemon takes, from before it reads its settings.
-//
-// A signal that no handler takes ends the process at once. It shows as every request in
-// progress cut off, or as an entry that does not come back after a start.
-type caught struct {
+// signalChannels receive the signals that a daemon handles. They are registered
+// before the daemon reads its settings: a signal without a handler ends the
+// process at once, which cuts off all requests in progress, or ends an entry
+// during its start for good.
+type signalChannels struct {
 	hangups, drains chan os.Signal
 }
 
-// catchSignals begins to take signals; one of each kind waits until it is looked at.
-func catchSignals() *caught {
-	c := &caught{hangups: make(chan os.Signal, 1), drains: make(chan os.Signal, 1)}
+// notifySignals registers the signal handlers. Each channel buffers one signal
+// until it is received.
+func notifySignals() *signalChannels {
+	c := &signalChannels{hangups: make(chan os.Signal, 1), drains: make(chan os.Signal, 1)}
 	signal.Notify(c.hangups, syscall.SIGHUP)
 	signal.Notify(c.drains, drainSignals...)
 	return c
 }
 
-func (c *caught) stop() {
+func (c *signalChannels) stop() {
 	signal.Stop(c.hangups)
 	signal.Stop(c.drains)
 }
 
-// gcPercent is how much the heap of a daemon grows between two collections, in percent: memory is
-// scarcer than processor time on the smallest VMs.
+// gcPercent is the garbage collection target of a daemon in percent of heap
+// growth. It is below Go's default of 100 because memory is scarcer than CPU
+// time on the smallest VMs.
 const gcPercent = 50
 
-// serve runs a daemon until it ends; SIGTERM drains it, and it reads its
-// settings file again on SIGHUP or when the file has changed.
-func serve(ctx context.Context, d ebonypulley.Daemon, log *event.Log, signals *caught, metrics, file string) error {
+// serve runs a daemon until it ends. SIGTERM drains it; SIGHUP or a change of
+// the settings file reloads its settings.
+func serve(ctx context.Context, d ebonypulley.Daemon, log *event.Log, signals *signalChannels, metricsAddr, file string) error {
 	defer log.Sync()
 	defer signals.stop()
 	debug.SetGCPercent(gcPercent)
@@ -81,10 +83,10 @@
 	}
 	g := ebonypulley.NewGroup(ctx)
 	g.Go(func(ctx context.Context) error { return reloadLoop(ctx, d, log, signals.hangups, file) })
-	if metrics != "" {
+	if metricsAddr != "" {
 		g.Go(func(ctx context.Context) error {
-			if err := serveDebug(ctx, metrics); err != nil {
-				log.Emit(event.MetricsLost, zap.String("listen", metrics), event.Err(err))
+			if err := serveDebug(ctx, metricsAddr); err != nil {
+				log.Emit(event.MetricsLost, zap.String("listen", metricsAddr), event.Err(err))
 			}
 			return nil
 		})
@@ -104,25 +106,25 @@
 	return g.Wait()
 }
 
-// settingsInterval is the pause between two looks at the settings file, which
+// settingsInterval is the interval between checks of the settings file, which
 // may change without a signal.
 const settingsInterval = time.Second
 
 func reloadLoop(ctx context.Context, d ebonypulley.Daemon, log *event.Log, hangups <-chan os.Signal, file string) error {
 	tick := time.NewTicker(settingsInterval)
 	defer tick.Stop()
-	last := modified(file)
+	last := modTime(file)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-hangups:
 		case <-tick.C:
-			if modified(file).Equal(last) {
+			if modTime(file).Equal(last) {
 				continue
 			}
 		}
-		last = modified(file)
+		last = modTime(file)
 		r, ok := d.(ebonypulley.Reloader)
 		if !ok {
 			continue
@@ -135,9 +137,9 @@
 	}
 }
 
-// modified returns when a file was last changed. A file that can't be read
-// counts as unchanged at the zero time; reloading it says what is wrong.
-func modified(file string) time.Time {
+// modTime returns the modification time of a file, or the zero time if the file
+// can't be read; the reload that this change triggers reports the error.
+func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
@@ -147,14 +149,15 @@
 
 const debugHeaderTimeout = 5 * time.Second
 
-// debugDelay lets the daemon's own addresses go first.
+// debugDelay is the delay before the metrics address is opened, so that the
+// daemon opens its own addresses first.
 const debugDelay = 300 * time.Millisecond
 
-// serveDebug shows expvar at /debug/vars.
+// serveDebug serves expvar at /debug/vars.
 //
-// The metrics port, which is the same on all VMs, is
-// in use on one of them. It shows as a process that does not start. The guard
-// holds because the daemon listens first and goes on without its metrics.
+// The daemon listens on its own addresses first and continues without metrics
+// if addr can't be opened: the metrics port is the same on all VMs, and a VM
+// where another process uses it must not keep the daemon from starting.
 func serveDebug(ctx context.Context, addr string) error {
 	if !ebonypulley.Sleep(ctx, debugDelay) {
 		return nil
@@ -174,8 +177,8 @@
 	return nil
 }
 
-// warnPlainText logs that an address can be reached from other machines
-// without encryption.
+// warnPlainText logs a warning if addr is not a loopback address, because
+// connections to it from other machines are not encrypted.
 func warnPlainText(log *event.Log, addr string) {
 	ap, err := netip.ParseAddrPort(addr)
 	if err == nil && !ap.Addr().IsLoopback() {
@@ -190,8 +193,8 @@
 	}
 }
 
-// daemonCommand makes the command of one role.
-func daemonCommand(name, usage string, defaults func() any, run func(ctx context.Context, file string, log *event.Log, signals *caught) error) *cli.Command {
+// daemonCommand returns the command that runs a daemon.
+func daemonCommand(name, usage string, defaults func() any, run func(ctx context.Context, file string, log *event.Log, signals *signalChannels) error) *cli.Command {
 	return &cli.Command{
 		Name:        name,
 		Usage:       usage,
@@ -203,9 +206,9 @@
 			}
 			file := cmd.String("settings")
 			if file == "" {
-				return errorx.IllegalArgument.New("--settings FILE is needed; see --print-defaults")
+				return errorx.IllegalArgument.New("--settings FILE is required; see --print-defaults")
 			}
-			signals := catchSignals()
+			signals := notifySignals()
 			log, err := newLog(cmd)
 			if err != nil {
 				return err
@@ -227,7 +230,7 @@
 func entryCommand() *cli.Command {
 	return daemonCommand("entry", "serve callers on an entry VM",
 		func() any { return settings.DefaultEntry() },
-		func(ctx context.Context, file string, log *event.Log, signals *caught) error {
+		func(ctx context.Context, file string, log *event.Log, signals *signalChannels) error {
 			set, err := settings.Entry(file)
 			if err != nil {
 				return err
@@ -240,9 +243,9 @@
 }
 
 func agentCommand() *cli.Command {
-	return daemonCommand("agent", "gate the endpoint on this VM",
+	return daemonCommand("agent", "control admission to the endpoint on this VM",
 		func() any { return settings.DefaultAgent() },
-		func(ctx context.Context, file string, log *event.Log, signals *caught) error {
+		func(ctx context.Context, file string, log *event.Log, signals *signalChannels) error {
 			set, err := settings.Agent(file)
 			if err != nil {
 				return err
@@ -257,7 +260,7 @@
 func standinCommand() *cli.Command {
 	return daemonCommand("standin", "stand in for an engine, a plain service or a service of the platform",
 		func() any { return settings.DefaultStandin() },
-		func(ctx context.Context, file string, log *event.Log, signals *caught) error {
+		func(ctx context.Context, file string, log *event.Log, signals *signalChannels) error {
 			set, err := settings.Standin(file)
 			if err != nil {
 				return err
--- a/cmd/ebonypulley/daemon_test.go
+++ b/cmd/ebonypulley/daemon_test.go
@@ -32,50 +32,50 @@
 	return nil
 }
 
-// TestHangup: clients see their answers cut off in the middle. The platform
-// changed the settings file and sent SIGHUP; no handler took the signal, so
-// the process ended at once, with code 129.
-func TestHangup(t *testing.T) {
+// TestHangupReloadsSettings: the platform changes the settings file and sends
+// SIGHUP. Without a handler the signal would end the process with exit code 129
+// and cut off the answers in progress.
+func TestHangupReloadsSettings(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	d := &reloadable{reloads: make(chan struct{}, 1)}
 	file := filepath.Join(t.TempDir(), "settings.jsonc")
 	require.NoError(t, os.WriteFile(file, []byte("{}"), 0o600))
 	ended := make(chan error, 1)
-	go func() { ended <- serve(ctx, d, event.Nop(), catchSignals(), "", file) }()
-	time.Sleep(50 * time.Millisecond) // the handler stands
+	go func() { ended <- serve(ctx, d, event.Nop(), notifySignals(), "", file) }()
+	time.Sleep(50 * time.Millisecond) // for serve to start its handler
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	reloaded(t, d)
+	waitForReload(t, d)
 
 	later := time.Now().Add(time.Minute)
 	require.NoError(t, os.Chtimes(file, later, later))
-	reloaded(t, d)
+	waitForReload(t, d)
 	cancel()
 	assert.NoError(t, <-ended)
 }
 
-// TestMetricsPortInUse: an entry does not start. Its metrics port is taken by
-// something else on that VM; it serves without metrics.
+// TestMetricsPortInUse: another process on the VM uses the entry's metrics
+// port. The entry must start and serve without metrics.
 func TestMetricsPortInUse(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = ln.Close() }()
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- serve(ctx, &reloadable{}, event.Nop(), catchSignals(), ln.Addr().String(), "") }()
+	go func() { ended <- serve(ctx, &reloadable{}, event.Nop(), notifySignals(), ln.Addr().String(), "") }()
 	select {
 	case err := <-ended:
-		t.Fatalf("it ended: %v", err)
+		t.Fatalf("serve returned early: %v", err)
 	case <-time.After(2 * debugDelay):
 	}
 	cancel()
 	assert.NoError(t, <-ended)
 }
 
-func reloaded(t *testing.T, d *reloadable) {
+func waitForReload(t *testing.T, d *reloadable) {
 	t.Helper()
 	select {
 	case <-d.reloads:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the settings were not read again")
+		t.Fatal("settings were not reloaded")
 	}
 }
--- a/cmd/ebonypulley/demo.go
+++ b/cmd/ebonypulley/demo.go
@@ -21,17 +21,19 @@
 const (
 	paidKey  = "demo-paid-key"
 	trialKey = "demo-trial-key"
-	// limitedKey is that of a workspace with a limit of limitedTokens a second.
-	limitedKey    = "demo-limited-key"
-	limitedName   = "demo-limited"
-	limitedTokens = 500
-	limitedSent   = 20
-	// readyTimeout bounds the start of the fleet.
+	// limitedKey is the key of a workspace with a limit of limitedTokens per
+	// second.
+	limitedKey      = "demo-limited-key"
+	limitedName     = "demo-limited"
+	limitedTokens   = 500
+	limitedRequests = 20
+	// readyTimeout is the timeout for the start of the fleet.
 	readyTimeout = 20 * time.Second
-	// keyWarmup: keys minted before the agents' memory began are refused.
+	// keyWarmup is the delay before load is sent: an agent refuses idempotency
+	// keys created before it began to record keys.
 	keyWarmup = 2 * time.Second
-	// freeTimeout is how long after the last request engines may still hold
-	// memory: the lease time and a little.
+	// freeTimeout is how long engines may hold memory after the last request:
+	// the lease time and a margin.
 	freeTimeout = 5 * time.Second
 	freePoll    = 20 * time.Millisecond
 	callerConns = 256
@@ -67,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Stop() }() // it logs its error
+	defer func() { _ = f.Stop() }() // Stop logs its error
 	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := f.Ready(readyCtx); err != nil {
@@ -79,11 +81,11 @@
 		<-ctx.Done()
 		return nil
 	}
-	return driveDemo(ctx, f, cmd)
+	return runDemoLoad(ctx, f, cmd)
 }
 
-// demoDocument reads a document and adds workspaces whose keys the demo
-// knows.
+// demoDocument reads a configuration document and adds the demo's workspaces,
+// whose keys are known.
 func demoDocument(file string) (*config.Document, error) {
 	name, text := "almaty.jsonc", examples.Almaty
 	if file != "" {
@@ -116,7 +118,7 @@
 	fmt.Println("\nstop with Ctrl-C")
 }
 
-func driveDemo(ctx context.Context, f *fleet.Fleet, cmd *cli.Command) error {
+func runDemoLoad(ctx context.Context, f *fleet.Fleet, cmd *cli.Command) error {
 	time.Sleep(keyWarmup)
 	transport := &http.Transport{MaxIdleConnsPerHost: callerConns}
 	defer transport.CloseIdleConnections()
@@ -131,13 +133,13 @@
 	return printSummary("demo", f, load.Judge(sum, results, f.Runs()))
 }
 
-// showLimit sends more than the limited workspace may use, and prints what its callers and those
-// on call see of it.
+// showLimit sends more requests than the limited workspace may use, and prints
+// what its callers and the operators see.
 func showLimit(ctx context.Context, f *fleet.Fleet) error {
 	doc := f.Plan.Document
 	caller := f.Caller(nil)
-	served, refused, again := 0, 0, ""
-	for n := range limitedSent {
+	served, refused, retryAfter := 0, 0, ""
+	for n := range limitedRequests {
 		url := fleet.URLs(doc)[n%len(doc.Entries)] + "/v1/completions"
 		body := fmt.Sprintf(`{"model":%q,"max_tokens":400,"stream":true,"prompt":"Dear parents"}`, caller.Model)
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
@@ -149,13 +151,13 @@
 		if err != nil {
 			return errorx.ExternalError.Wrap(err, "a caller of %s", limitedName)
 		}
-		_ = resp.Body.Close() // only the head is shown
+		_ = resp.Body.Close() // only status and headers are shown
 		switch resp.StatusCode {
 		case http.StatusOK:
 			served++
 		case http.StatusTooManyRequests:
 			refused++
-			again = resp.Header.Get("Retry-After")
+			retryAfter = resp.Header.Get("Retry-After")
 		}
 	}
 	var counted int64
@@ -163,7 +165,7 @@
 		counted += e.Metrics().Count("quota_refused." + limitedName)
 	}
 	fmt.Printf("workspace %s with %d tokens a second: %d served, %d refused with 429, Retry-After %s s; counted quota_refused.%s=%d\n",
-		limitedName, limitedTokens, served, refused, again, limitedName, counted)
+		limitedName, limitedTokens, served, refused, retryAfter, limitedName, counted)
 	return nil
 }
 
@@ -171,15 +173,16 @@
 	fmt.Printf("  %5d ended: %d whole, %d not run, %d unknown, %d cancelled\n", s.Requests, s.Whole, s.NotRun, s.Unknown, s.Cancelled)
 }
 
-// holder tells what the engines hold and have computed.
-type holder interface {
+// engineStats reports what the engines hold and what they have prefilled.
+type engineStats interface {
+	// Held returns the number of requests that hold engine memory.
 	Held() int
 	Prefill() fleet.Prefill
 }
 
-// awaitFree waits until no engine holds a request and returns how long that
-// took, at most freeTimeout.
-func awaitFree(h holder) time.Duration {
+// waitUntilFree waits until no engine holds a request, and returns how long that
+// took; it gives up after freeTimeout.
+func waitUntilFree(h engineStats) time.Duration {
 	began := time.Now()
 	for h.Held() > 0 && time.Since(began) < freeTimeout {
 		time.Sleep(freePoll)
@@ -187,9 +190,9 @@
 	return min(time.Since(began), freeTimeout)
 }
 
-// printSummary prints what became of the load; its last line is for scripts.
-func printSummary(name string, h holder, s load.Summary) error {
-	freed := awaitFree(h)
+// printSummary prints the results of the load; scripts parse its last line.
+func printSummary(name string, h engineStats, s load.Summary) error {
+	freed := waitUntilFree(h)
 	for _, m := range s.Mismatches {
 		fmt.Println("mismatch:", m)
 	}
@@ -197,12 +200,12 @@
 		fmt.Printf("%5d %s\n", s.Reasons[reason], reason)
 	}
 	if s.FalseNotRun > 0 {
-		fmt.Printf("refused as not run, but ran: %d\n", s.FalseNotRun)
+		fmt.Printf("reported as not run, but ran: %d\n", s.FalseNotRun)
 	}
-	spent := h.Prefill()
-	fmt.Printf("paid drafts within both targets: %d of %d; answers broken off: %d\n", s.GoodPaid, s.Paid, s.Broken)
-	fmt.Printf("prefill: %d tokens computed, %d from cache, %d wasted; %d results expired unused\n", spent.Computed, spent.Cached, spent.Wasted, spent.Expired)
-	fmt.Printf("engine memory free %s after the last request\n", freed.Round(time.Millisecond))
+	prefill := h.Prefill()
+	fmt.Printf("paid drafts within both targets: %d of %d; aborted answers: %d\n", s.GoodPaid, s.Paid, s.Broken)
+	fmt.Printf("prefill: %d tokens computed, %d from cache, %d wasted; %d results expired unused\n", prefill.Computed, prefill.Cached, prefill.Wasted, prefill.Expired)
+	fmt.Printf("engine memory was free %s after the last request\n", freed.Round(time.Millisecond))
 	violations := s.Violations + int64(s.FalseNotRun)
 	if freed >= freeTimeout {
 		fmt.Printf("engines still hold %d requests\n", h.Held())
--- a/cmd/ebonypulley/inspect.go
+++ b/cmd/ebonypulley/inspect.go
@@ -24,7 +24,7 @@
 
 func runInspect(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() == 0 {
-		return errorx.IllegalArgument.New("the names of log files are needed")
+		return errorx.IllegalArgument.New("name at least one log FILE")
 	}
 	var lines []inspect.Line
 	for _, name := range cmd.Args().Slice() {
@@ -52,18 +52,18 @@
 		return nil, errorx.Decorate(err, "%s", name)
 	}
 	if skipped > 0 {
-		fmt.Fprintf(os.Stderr, "%s: %d lines are no events\n", name, skipped)
+		fmt.Fprintf(os.Stderr, "%s: skipped %d lines that are not events\n", name, skipped)
 	}
 	return lines, nil
 }
 
 func printRequest(lines []inspect.Line, id string) error {
-	story := inspect.RequestLines(lines, id)
-	if len(story) == 0 {
-		return errorx.IllegalArgument.New("no line of request %s; lines of its time may have been left out (docs/OPERATIONS.md)", id)
+	found := inspect.RequestLines(lines, id)
+	if len(found) == 0 {
+		return errorx.IllegalArgument.New("no lines of request %s; they may have been dropped by sampling (docs/OPERATIONS.md)", id)
 	}
-	for _, l := range story {
-		fmt.Printf("%+8.3fs %s %d %s", l.At.Sub(story[0].At).Seconds(), l.Process, l.Event, l.Text)
+	for _, l := range found {
+		fmt.Printf("%+8.3fs %s %d %s", l.At.Sub(found[0].At).Seconds(), l.Process, l.Event, l.Text)
 		for _, f := range l.Fields {
 			fmt.Printf("  %s=%s", f.Name, f.Value)
 		}
--- a/cmd/ebonypulley/load.go
+++ b/cmd/ebonypulley/load.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// mixFlags are the flags of the commands that send load.
+// mixFlags returns the flags of the commands that send load.
 func mixFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.DurationFlag{Name: "for", Usage: "send mixed load for this `TIME`, then stop"},
@@ -73,7 +73,8 @@
 	return printSummary("load", remote, sum)
 }
 
-// remoteStandins reads the stand-ins of a fleet of separate processes.
+// remoteStandins reads the counters of the stand-ins of a fleet of separate
+// processes.
 type remoteStandins struct {
 	doc    *config.Document
 	client *http.Client
@@ -87,7 +88,7 @@
 		}
 		var runs map[string]int
 		if err := r.get(e.URL+"/admin/runs", &runs); err != nil {
-			fmt.Println("not counted:", err)
+			fmt.Println("stand-in does not report its runs:", err)
 		}
 		for call, n := range runs {
 			total[call] += n
@@ -96,7 +97,7 @@
 	return total
 }
 
-// Held implements holder. An engine that can't be asked holds nothing.
+// Held implements engineStats. An engine that does not answer counts as empty.
 func (r *remoteStandins) Held() int {
 	held := 0
 	for _, e := range r.doc.Endpoints {
@@ -111,7 +112,7 @@
 	return held
 }
 
-// Prefill implements holder; what was wasted is known to the entries only.
+// Prefill implements engineStats. Wasted stays 0, because only the entries know it.
 func (r *remoteStandins) Prefill() fleet.Prefill {
 	var p fleet.Prefill
 	for _, e := range r.doc.Endpoints {
--- a/cmd/ebonypulley/main.go
+++ b/cmd/ebonypulley/main.go
@@ -1,5 +1,5 @@
-// Command ebonypulley is the router: each subcommand is one role of it, or a
-// tool beside it.
+// Command ebonypulley runs the router: each subcommand runs one of its daemons
+// or one of its tools.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	_ "ebonypulley/plugins"
 )
 
-// errReported is returned by commands that have printed all there is to say.
+// errReported is returned by commands that have already printed what failed.
 var errReported = errors.New("reported")
 
 func main() {
@@ -33,7 +33,7 @@
 	os.Exit(1)
 }
 
-// message is what a user sees of an error: no stack trace.
+// message returns the text of an error without its stack trace.
 func message(err error) string {
 	if typed := errorx.Cast(err); typed != nil {
 		return typed.Error()
@@ -64,5 +64,5 @@
 	}
 }
 
-// drainSignals is what asks a daemon to drain.
+// drainSignals are the signals that make a daemon drain.
 var drainSignals = []os.Signal{syscall.SIGTERM}
--- a/cmd/ebonypulley/platform.go
+++ b/cmd/ebonypulley/platform.go
@@ -32,9 +32,9 @@
 		file = os.Getenv(name)
 	}
 	if file == "" {
-		return errorx.IllegalArgument.New("--settings FILE or --settings-env NAME is needed; see --print-defaults")
+		return errorx.IllegalArgument.New("--settings FILE or --settings-env NAME is required; see --print-defaults")
 	}
-	signals := catchSignals()
+	signals := notifySignals()
 	log, err := newLog(cmd)
 	if err != nil {
 		return err
--- a/cmd/ebonypulley/start_test.go
+++ b/cmd/ebonypulley/start_test.go
@@ -16,19 +16,20 @@
 	"ebonypulley/settings"
 )
 
-// runsMain makes this test's program run as the product's.
-const runsMain = "EBONYPULLEY_TEST_RUNS_MAIN"
+// runMainEnv is the environment variable that makes the test binary run main.
+const runMainEnv = "EBONYPULLEY_TEST_RUNS_MAIN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(runsMain) != "" {
+	if os.Getenv(runMainEnv) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// starting is an entry process that reads its settings from a pipe, and so waits in its start.
-type starting struct {
+// startingEntry is an entry process whose settings file is a named pipe, so that
+// it blocks during its start until deliverSettings is called.
+type startingEntry struct {
 	t     *testing.T
 	cmd   *exec.Cmd
 	file  string
@@ -37,16 +38,16 @@
 	lines chan string
 }
 
-func startEntry(t *testing.T) *starting {
+func startEntry(t *testing.T) *startingEntry {
 	dir := t.TempDir()
 	set := settings.DefaultPlatformEntry()
 	set.Listen, set.Ready, set.Peers, set.Metrics, set.Store = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:1"
 	text, err := settings.Format(set)
 	require.NoError(t, err)
-	s := &starting{t: t, file: filepath.Join(dir, "entry.jsonc"), text: text, lines: make(chan string, 100)}
+	s := &startingEntry{t: t, file: filepath.Join(dir, "entry.jsonc"), text: text, lines: make(chan string, 100)}
 	require.NoError(t, syscall.Mkfifo(s.file, 0o600))
 	s.cmd = exec.Command(os.Args[0], "platform-entry", "--settings", s.file)
-	s.cmd.Env = append(os.Environ(), runsMain+"=1")
+	s.cmd.Env = append(os.Environ(), runMainEnv+"=1")
 	out, err := s.cmd.StdoutPipe()
 	require.NoError(t, err)
 	require.NoError(t, s.cmd.Start())
@@ -62,9 +63,10 @@
 	return s
 }
 
-// goOn lets the process have its settings, and read the same ones from a file later.
-func (s *starting) goOn() {
-	time.Sleep(50 * time.Millisecond) // for a signal to end it
+// deliverSettings writes the settings to the pipe, after replacing the pipe by a
+// regular file of the same content for later reloads.
+func (s *startingEntry) deliverSettings() {
+	time.Sleep(50 * time.Millisecond) // a signal without a handler would end the process now
 	next := s.file + ".next"
 	require.NoError(s.t, os.WriteFile(next, s.text, 0o600))
 	require.NoError(s.t, os.Rename(next, s.file))
@@ -73,8 +75,8 @@
 	assert.NoError(s.t, s.pipe.Close())
 }
 
-// saw waits for a line of its log.
-func (s *starting) saw(text string) bool {
+// waitForLine reports whether a log line that contains text appears within 5 s.
+func (s *startingEntry) waitForLine(text string) bool {
 	timeout := time.After(5 * time.Second)
 	for {
 		select {
@@ -91,21 +93,23 @@
 	}
 }
 
-// TestHangupDuringStart: an entry that is just starting is ended by SIGHUP, or the reload that it
-// asks for is lost.
+// TestHangupDuringStart: SIGHUP reaches an entry during its start. It must
+// neither end the process nor be lost: the entry reloads its settings once it
+// runs.
 func TestHangupDuringStart(t *testing.T) {
 	s := startEntry(t)
 	require.NoError(t, s.cmd.Process.Signal(syscall.SIGHUP))
-	s.goOn()
-	assert.True(t, s.saw(`"event":7004`), "the settings are read again")
+	s.deliverSettings()
+	assert.True(t, s.waitForLine(`"event":7004`), "the settings are reloaded")
 	require.NoError(t, s.cmd.Process.Signal(syscall.SIGTERM))
 	assert.NoError(t, s.cmd.Wait())
 }
 
-// TestTermDuringStart: an entry that is asked to end while it starts ends as one that failed.
+// TestTermDuringStart: an entry that receives SIGTERM during its start must exit
+// with code 0, not as if it had failed.
 func TestTermDuringStart(t *testing.T) {
 	s := startEntry(t)
 	require.NoError(t, s.cmd.Process.Signal(syscall.SIGTERM))
-	s.goOn()
+	s.deliverSettings()
 	assert.NoError(t, s.cmd.Wait())
 }
