--- a/cmd/ebonypulley/soak.go
+++ b/cmd/ebonypulley/soak.go
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// runProcesses plays each seed with real processes; the first violation ends
-// it, with the logs kept.
+// runProcesses runs the soak of real processes for each seed. It stops at the
+// first violation and keeps the logs of that run.
 func runProcesses(ctx context.Context, cmd *cli.Command) error {
 	program, err := os.Executable()
 	if err != nil {
@@ -106,7 +106,7 @@
 		}
 		fmt.Println()
 	}
-	fmt.Printf("outcomes: %v; longest lease for a caller gone: %s\n", r.Outcomes, r.Freed.Round(time.Millisecond))
+	fmt.Printf("outcomes: %v; longest lease after its caller disconnected: %s\n", r.Outcomes, r.LongestStaleLease.Round(time.Millisecond))
 	fmt.Printf("history %016x, %.0f steps/s\n", r.Hash, float64(r.Steps)/took.Seconds())
 	fmt.Printf("soak: seed=%d steps=%d requests=%d faults=%d violations=%d\n", r.Seed, r.Steps, r.Requests, r.Faults, len(r.Violations))
 }
--- a/soak/agent.go
+++ b/soak/agent.go
@@ -8,39 +8,40 @@
 	"ebonypulley/wire"
 )
 
-// Timing of the world's processes, as in the daemons.
+// Timing of the simulated processes, as in the daemons.
 const (
-	leaseTTL    = 3 * time.Second
-	agentTick   = 100 * time.Millisecond
-	heartbeat   = 500 * time.Millisecond
-	silence     = 1500 * time.Millisecond
-	linkGrace   = 2500 * time.Millisecond
-	settleTime  = 200 * time.Millisecond
-	maxNap      = 8 * time.Second
-	pauseLength = time.Second
-	keyWindow   = 10 * time.Minute
-	keyCount    = 1000
-	maxService  = 1500 * time.Millisecond
+	leaseTTL          = 3 * time.Second
+	tickInterval      = 100 * time.Millisecond
+	heartbeatInterval = 500 * time.Millisecond
+	idleTimeout       = 1500 * time.Millisecond
+	reconnectTimeout  = 2500 * time.Millisecond
+	withdrawTimeout   = 200 * time.Millisecond
+	maxPause          = 8 * time.Second
+	pauseThreshold    = time.Second
+	keyWindow         = 10 * time.Minute
+	maxKeys           = 1000
+	maxServiceTime    = 1500 * time.Millisecond
 )
 
 var capacity = lease.Capacity{Requests: 3, Headroom: 1, Queue: 4}
 
-// agent is the process beside a plain service, around the real machines.
+// agent simulates the agent of a plain service around the real lease table and
+// attempt server.
 type agent struct {
-	w       *world
-	index   int
-	inc     wire.Incarnation
-	up      bool
-	nap     time.Time // asleep until
-	inbox   []func()  // what arrived while asleep
-	gate    *lease.Table
-	server  *attempt.Server
-	held    map[wire.ID]bool
-	seen    map[wire.ID]bool // attempts that were offered here
-	leaving bool
-	ticked  time.Time
-	pauses  int
-	overdue map[wire.ID]*overdue
+	w           *world
+	index       int
+	incarnation wire.Incarnation
+	up          bool
+	pausedUntil time.Time // paused until then
+	inbox       []func()  // deliveries that arrived during a pause
+	leases      *lease.Table
+	server      *attempt.Server
+	leased      map[wire.ID]bool
+	offered     map[wire.ID]bool // attempts offered to this agent
+	draining    bool
+	lastTick    time.Time
+	pauses      int
+	staleLeases map[wire.ID]*staleLease
 }
 
 var _ attempt.Effects = (*agent)(nil)
@@ -52,66 +53,68 @@
 }
 
 func (a *agent) start() {
-	a.inc = a.w.newID()
+	a.incarnation = a.w.newID()
 	a.up = true
-	a.leaving = false
+	a.draining = false
 	a.inbox = nil
-	a.ticked = a.w.now
-	a.held = make(map[wire.ID]bool)
-	a.seen = make(map[wire.ID]bool)
-	a.overdue = make(map[wire.ID]*overdue)
-	a.gate = lease.NewTable(capacity, leaseTTL)
-	a.server = attempt.NewServer(a.w.now, a.inc, a.gate, attempt.KeyLimits{Window: keyWindow, Count: keyCount}, a)
-	a.w.note("agent %d starts as %s", a.index, a.inc)
+	a.lastTick = a.w.now
+	a.leased = make(map[wire.ID]bool)
+	a.offered = make(map[wire.ID]bool)
+	a.staleLeases = make(map[wire.ID]*staleLease)
+	a.leases = lease.NewTable(capacity, leaseTTL)
+	a.server = attempt.NewServer(a.w.now, a.incarnation, a.leases, attempt.KeyLimits{Window: keyWindow, Count: maxKeys}, a)
+	a.w.note("agent %d starts as %s", a.index, a.incarnation)
 }
 
-func (a *agent) awake() bool { return a.up && !a.w.now.Before(a.nap) }
+func (a *agent) running() bool { return a.up && !a.w.now.Before(a.pausedUntil) }
 
-// when runs do now, or when the process wakes; what a crash swallows is lost.
-func (a *agent) when(do func()) {
+// deliver runs fn now, or after the pause if the process is paused. It drops fn
+// if the process is down or crashes during the pause.
+func (a *agent) deliver(fn func()) {
 	switch {
 	case !a.up:
-	case a.awake():
-		do()
+	case a.running():
+		fn()
 	default:
-		a.inbox = append(a.inbox, do)
+		a.inbox = append(a.inbox, fn)
 	}
 }
 
-func (a *agent) wake() {
-	if !a.awake() {
+func (a *agent) resume() {
+	if !a.running() {
 		return
 	}
 	a.w.note("agent %d wakes with %d messages", a.index, len(a.inbox))
-	a.pauseOver()
+	a.extendAfterPause()
 	inbox := a.inbox
 	a.inbox = nil
-	for _, do := range inbox {
-		do()
+	for _, fn := range inbox {
+		fn()
 	}
 }
 
 func (a *agent) tick() {
-	a.w.after(agentTick, a.tick)
-	if !a.awake() {
+	a.w.after(tickInterval, a.tick)
+	if !a.running() {
 		return
 	}
-	a.pauseOver()
-	a.apply(a.gate.Tick(a.w.now))
+	a.extendAfterPause()
+	a.apply(a.leases.Tick(a.w.now))
 	a.server.Tick(a.w.now)
-	if a.leaving && a.gate.Idle() && a.server.Idle() {
+	if a.draining && a.leases.Idle() && a.server.Idle() {
 		a.w.note("agent %d has drained", a.index)
 		a.crash()
 		a.w.after(a.w.between(0, 2*time.Second), a.restart)
 	}
 }
 
-// pauseOver gives holders a moment to be heard after a pause.
-func (a *agent) pauseOver() {
-	if a.w.now.Sub(a.ticked) > pauseLength {
-		a.gate.Grace(a.w.now, pauseLength)
+// extendAfterPause extends all leases after a pause of this process, so that
+// their holders' heartbeats can be read first.
+func (a *agent) extendAfterPause() {
+	if a.w.now.Sub(a.lastTick) > pauseThreshold {
+		a.leases.Grace(a.w.now, pauseThreshold)
 	}
-	a.ticked = a.w.now
+	a.lastTick = a.w.now
 }
 
 func (a *agent) apply(changes []lease.Change) {
@@ -126,45 +129,46 @@
 			a.server.Expired(a.w.now, c.ID)
 		}
 	}
-	a.follow()
+	a.updatePhases()
 }
 
-// follow mirrors the gate's holds for the world's checks.
-func (a *agent) follow() {
-	for id := range a.seen {
-		t := a.w.calls[id]
+// updatePhases copies the state of the lease table to the world's records of the
+// attempts offered to this agent.
+func (a *agent) updatePhases() {
+	for id := range a.offered {
+		t := a.w.attempts[id]
 		if t == nil {
-			delete(a.seen, id)
+			delete(a.offered, id)
 			continue
 		}
-		holds := a.gate.Holds(id)
-		if holds && !a.held[id] && t.phase == Offering || holds && t.phase == Waiting {
+		holds := a.leases.Holds(id)
+		if holds && !a.leased[id] && t.phase == Offering || holds && t.phase == Waiting {
 			t.phase = Granted
 		}
 		if holds {
-			a.held[id] = true
+			a.leased[id] = true
 		} else {
-			delete(a.held, id)
-			delete(a.overdue, id)
+			delete(a.leased, id)
+			delete(a.staleLeases, id)
 		}
 	}
 }
 
-// handle takes a message of an entry.
+// handle handles a message from an entry.
 func (a *agent) handle(e *entry, holder wire.Incarnation, m wire.Message) {
 	now := a.w.now
 	switch m := m.(type) {
 	case *wire.Ping:
-		a.gate.Renew(now, holder)
-		a.w.links[pair{e.index, a.index}].toEntry(holder, &wire.Pong{Load: wire.Load{Draining: a.leaving}})
+		a.leases.Renew(now, holder)
+		a.w.links[pair{e.index, a.index}].toEntry(holder, &wire.Pong{Load: wire.Load{Draining: a.draining}})
 	case *wire.Offer:
-		if a.leaving && !a.server.Known(m.ID) {
+		if a.draining && !a.server.Known(m.ID) {
 			a.Reply(holder, &wire.Refused{ID: m.ID, Reason: wire.Draining})
 			return
 		}
-		a.seen[m.ID] = true
+		a.offered[m.ID] = true
 		a.server.Offer(now, holder, m)
-		if t := a.w.calls[m.ID]; t != nil && t.phase == Offering && a.server.Known(m.ID) {
+		if t := a.w.attempts[m.ID]; t != nil && t.phase == Offering && a.server.Known(m.ID) {
 			t.phase = Waiting
 		}
 	case *wire.Start:
@@ -174,38 +178,38 @@
 	case *wire.Cancel:
 		a.server.Cancel(now, holder, m.ID)
 	}
-	a.follow()
+	a.updatePhases()
 }
 
 // Reply implements attempt.Effects.
 func (a *agent) Reply(holder wire.Incarnation, m wire.Message) {
 	for _, e := range a.w.entries {
-		if e.inc == holder {
+		if e.incarnation == holder {
 			a.w.links[pair{e.index, a.index}].toEntry(holder, m)
 		}
 	}
 }
 
-// Run implements attempt.Effects: the service runs the call, at once and for
-// certain; its answer may be lost.
+// Run implements attempt.Effects: the service always starts the call, at once;
+// its answer may be lost.
 func (a *agent) Run(offer *wire.Offer, _ *wire.Start, deadline time.Time) {
 	w, id, server := a.w, offer.ID, a.server
 	w.note("agent %d runs %s", a.index, id)
-	w.ran(id)
-	take := w.between(time.Millisecond, maxService)
+	w.recordRun(id)
+	take := w.between(time.Millisecond, maxServiceTime)
 	lost := w.set.Faults && w.chance(0.05)
 	if left := deadline.Sub(w.now); take > left {
 		take, lost = max(left, 0), true
 	}
 	if lost {
-		w.hit(Lost, func(x wire.ID) bool { return x == id })
+		w.recordFault(AnswerLost, func(x wire.ID) bool { return x == id })
 	}
 	w.after(take, func() {
-		a.when(func() {
+		a.deliver(func() {
 			if a.server != server {
-				return // another incarnation
+				return // the agent has restarted
 			}
-			if t := w.calls[id]; t != nil {
+			if t := w.attempts[id]; t != nil {
 				t.phase = Ended
 			}
 			if lost {
@@ -213,27 +217,27 @@
 			} else {
 				server.Ended(id, &attempt.Answer{Status: 200, Body: id[:]}, true)
 			}
-			a.follow()
+			a.updatePhases()
 		})
 	})
 }
 
-// Abort implements attempt.Effects; the calls of this world are not
-// idempotent.
+// Abort implements attempt.Effects. It does nothing, because the simulated calls
+// are not idempotent.
 func (a *agent) Abort(wire.ID) {}
 
 // Release implements attempt.Effects.
 func (a *agent) Release(id wire.ID) {
-	a.gate.Release(a.w.now, id)
-	a.apply(a.gate.Tick(a.w.now))
+	a.leases.Release(a.w.now, id)
+	a.apply(a.leases.Tick(a.w.now))
 }
 
 func (a *agent) crash() {
 	a.w.note("agent %d ends", a.index)
 	a.up = false
 	a.inbox = nil
-	for id := range a.held {
-		if t := a.w.calls[id]; t != nil && t.phase != Running {
+	for id := range a.leased {
+		if t := a.w.attempts[id]; t != nil && t.phase != Running {
 			t.phase = Ended
 		}
 	}
@@ -248,12 +252,12 @@
 	}
 }
 
-// drain is SIGTERM.
+// drain simulates SIGTERM.
 func (a *agent) drain() {
-	if a.leaving || !a.awake() {
+	if a.draining || !a.running() {
 		return
 	}
 	a.w.note("agent %d drains", a.index)
-	a.leaving = true
-	a.apply(a.gate.Drain())
+	a.draining = true
+	a.apply(a.leases.Drain())
 }
--- a/soak/entry.go
+++ b/soak/entry.go
@@ -9,25 +9,25 @@
 	"ebonypulley/wire"
 )
 
-// entry is an entry process around the real client machines.
+// entry simulates an entry process around the real attempt clients.
 type entry struct {
-	w        *world
-	index    int
-	inc      wire.Incarnation
-	up       bool
-	nap      time.Time
-	inbox    []func()
-	attempts map[wire.ID]*call
-	cancels  map[wire.ID]int // attempt -> agent, repeated until acknowledged
-	leaving  [agentCount]bool
+	w           *world
+	index       int
+	incarnation wire.Incarnation
+	up          bool
+	pausedUntil time.Time
+	inbox       []func()
+	attempts    map[wire.ID]*clientAttempt
+	cancels     map[wire.ID]int // attempt -> agent, sent again until acknowledged
+	draining    [agentCount]bool
 }
 
-// call is one attempt of an entry.
-type call struct {
+// clientAttempt is an attempt as its entry sees it.
+type clientAttempt struct {
 	id      wire.ID
 	agent   int
 	machine *attempt.Client
-	// downSince is when its connection was lost.
+	// downSince is when the connection to its agent was lost.
 	downSince time.Time
 }
 
@@ -38,180 +38,185 @@
 }
 
 func (e *entry) start() {
-	e.inc = e.w.newID()
+	e.incarnation = e.w.newID()
 	e.up = true
 	e.inbox = nil
-	e.attempts = make(map[wire.ID]*call)
+	e.attempts = make(map[wire.ID]*clientAttempt)
 	e.cancels = make(map[wire.ID]int)
-	e.leaving = [agentCount]bool{}
+	e.draining = [agentCount]bool{}
 }
 
-func (e *entry) awake() bool { return e.up && !e.w.now.Before(e.nap) }
+func (e *entry) running() bool { return e.up && !e.w.now.Before(e.pausedUntil) }
 
-func (e *entry) when(do func()) {
+func (e *entry) deliver(fn func()) {
 	switch {
 	case !e.up:
-	case e.awake():
-		do()
+	case e.running():
+		fn()
 	default:
-		e.inbox = append(e.inbox, do)
+		e.inbox = append(e.inbox, fn)
 	}
 }
 
-func (e *entry) wake() {
-	if !e.awake() {
+func (e *entry) resume() {
+	if !e.running() {
 		return
 	}
 	inbox := e.inbox
 	e.inbox = nil
-	for _, do := range inbox {
-		do()
+	for _, fn := range inbox {
+		fn()
 	}
 }
 
-// beat sends heartbeats, repeats cancels and notices silent connections.
-func (e *entry) beat() {
-	e.w.after(heartbeat, e.beat)
-	if !e.awake() {
+// sendHeartbeats runs at each heartbeat interval: it replaces idle connections,
+// sends heartbeats, and sends unacknowledged cancels again.
+func (e *entry) sendHeartbeats() {
+	e.w.after(heartbeatInterval, e.sendHeartbeats)
+	if !e.running() {
 		return
 	}
 	for a := range agentCount {
 		l := e.w.links[pair{e.index, a}]
-		l.watch()
+		l.checkIdle()
 		l.toAgent(&wire.Ping{})
 	}
-	for _, id := range sorted(e.cancels) {
+	for _, id := range sortedIDs(e.cancels) {
 		e.w.links[pair{e.index, e.cancels[id]}].toAgent(&wire.Cancel{ID: id})
 	}
 }
 
-// Shares of the callers' habits.
+// Behaviour of the simulated callers. The fractions are probabilities.
 const (
-	keyShare     = 0.6
-	repeatShare  = 0.4
-	giveUpShare  = 0.15
-	meanArrival  = 120 * time.Millisecond
-	minDeadline  = 500 * time.Millisecond
-	maxDeadline  = 12 * time.Second
-	spareShare   = 0.3
-	maxQueueWait = 3 * time.Second
-	// maxSkew is how far callers' clocks are off.
+	keyFraction        = 0.6
+	reuseFraction      = 0.4
+	disconnectFraction = 0.15
+	meanInterval       = 120 * time.Millisecond
+	minDeadline        = 500 * time.Millisecond
+	maxDeadline        = 12 * time.Second
+	spareFraction      = 0.3
+	maxQueueWait       = 3 * time.Second
+	// maxSkew is the maximum difference between a caller's clock and the world's.
 	maxSkew = 1900 * time.Millisecond
 )
 
-// arrive is a caller with a booking.
-func (e *entry) arrive() {
-	e.w.after(e.w.between(0, 2*meanArrival), e.arrive)
-	if !e.awake() {
+// sendRequests simulates callers: each time it runs, it sends one non-idempotent
+// call and schedules the next.
+func (e *entry) sendRequests() {
+	e.w.after(e.w.between(0, 2*meanInterval), e.sendRequests)
+	if !e.running() {
 		return
 	}
 	key := e.chooseKey()
 	target := e.w.rnd.IntN(agentCount)
 	if key != "" {
-		target = owner(key)
+		target = keyOwner(key)
 	}
 	l := e.w.links[pair{e.index, target}]
-	if !l.up || e.leaving[target] {
-		return // refused without an attempt
+	if !l.up || e.draining[target] {
+		return // the entry refuses the call without an attempt
 	}
-	e.open(l, target, key)
+	e.startAttempt(l, target, key)
 }
 
-// chooseKey returns no key, a new one, or one that some caller used before,
-// perhaps through another entry.
+// chooseKey returns the idempotency key of a new call: none, a new one, or one
+// that was used before, possibly through another entry.
 func (e *entry) chooseKey() string {
 	w := e.w
-	if !w.chance(keyShare) {
+	if !w.chance(keyFraction) {
 		return ""
 	}
-	if len(w.keys) > 0 && w.chance(repeatShare) {
+	if len(w.keys) > 0 && w.chance(reuseFraction) {
 		return w.keys[w.rnd.IntN(len(w.keys))]
 	}
-	key := uuid.UUID(w.mint(w.now.Add(w.between(-maxSkew, maxSkew)))).String()
+	key := uuid.UUID(w.newIDAt(w.now.Add(w.between(-maxSkew, maxSkew)))).String()
 	w.keys = append(w.keys, key)
-	if len(w.keys) > keysKept {
+	if len(w.keys) > reusableKeys {
 		w.keys = w.keys[1:]
 	}
 	return key
 }
 
-// owner is the agent that a key's calls go to.
-func owner(key string) int { return int(key[len(key)-1]) % agentCount }
+// keyOwner returns the agent that receives all calls with a key.
+func keyOwner(key string) int { return int(key[len(key)-1]) % agentCount }
 
-func (e *entry) open(l *link, target int, key string) {
+// startAttempt offers a call to an agent and schedules the caller's disconnect
+// and its deadline.
+func (e *entry) startAttempt(l *link, target int, key string) {
 	w := e.w
 	id := w.newID()
-	life := w.between(minDeadline, maxDeadline)
+	timeout := w.between(minDeadline, maxDeadline)
 	offer := &wire.Offer{
 		ID: id, Workspace: "w", Key: key,
-		Spare:    w.chance(spareShare),
+		Spare:    w.chance(spareFraction),
 		Priority: w.rnd.IntN(2),
 		Wait:     w.between(0, maxQueueWait),
-		Deadline: life,
+		Deadline: timeout,
 	}
-	c := &call{id: id, agent: target, machine: attempt.NewClient(l.inc, offer, new(wire.Start))}
+	c := &clientAttempt{id: id, agent: target, machine: attempt.NewClient(l.agentIncarnation, offer, new(wire.Start))}
 	e.attempts[id] = c
-	w.calls[id] = &truth{key: key, phase: Offering}
+	w.attempts[id] = &groundTruth{key: key, phase: Offering}
 	w.report.Requests++
 	w.note("entry %d offers %s to agent %d, key %q", e.index, id, target, key)
-	e.step(c, c.machine.Begin())
-	inc := e.inc
-	alive := func(do func()) func() {
+	e.apply(c, c.machine.Begin())
+	inc := e.incarnation
+	ifOpen := func(fn func()) func() {
 		return func() {
-			e.when(func() {
-				if e.inc == inc && e.attempts[id] == c {
-					do()
+			e.deliver(func() {
+				if e.incarnation == inc && e.attempts[id] == c {
+					fn()
 				}
 			})
 		}
 	}
-	if w.chance(giveUpShare) {
-		w.after(w.between(0, life), alive(func() { e.giveUp(c) }))
+	if w.chance(disconnectFraction) {
+		w.after(w.between(0, timeout), ifOpen(func() { e.abandon(c) }))
 	}
-	w.after(life, alive(func() {
-		e.step(c, c.machine.Expire())
-		w.after(settleTime, alive(func() { e.step(c, c.machine.Settled()) }))
+	w.after(timeout, ifOpen(func() {
+		e.apply(c, c.machine.Expire())
+		w.after(withdrawTimeout, ifOpen(func() { e.apply(c, c.machine.Settled()) }))
 	}))
 }
 
-// step carries out what a machine wants.
-func (e *entry) step(c *call, s attempt.Step) {
+// apply sends the message of a step and handles the end of the attempt.
+func (e *entry) apply(c *clientAttempt, s attempt.Step) {
 	if s.Send != nil {
 		e.w.links[pair{e.index, c.agent}].toAgent(s.Send)
 	}
 	if s.End == nil {
 		return
 	}
-	e.w.note("entry %d ends %s: %s", e.index, c.id, fates[s.End.Fate])
-	e.w.report.Outcomes[fates[s.End.Fate]]++
+	e.w.note("entry %d ends %s: %s", e.index, c.id, dispositions[s.End.Fate])
+	e.w.report.Outcomes[dispositions[s.End.Fate]]++
 	switch s.End.Fate {
 	case attempt.Refused, attempt.NotRun:
-		e.w.denied(c.id)
+		e.w.recordNotRun(c.id)
 	case attempt.Answered:
-		e.answered(c, s.End.Outcome)
+		e.checkAnswer(c, s.End.Outcome)
 	}
-	e.giveUp(c)
+	e.abandon(c)
 }
 
-var fates = map[attempt.Fate]string{
+var dispositions = map[attempt.Fate]string{
 	attempt.Answered: "answered", attempt.Refused: "refused", attempt.NotRun: "not-run", attempt.Unknown: "unknown",
 }
 
-// answered checks that the answer is that of this call or of its key.
-func (e *entry) answered(c *call, out *wire.Outcome) {
-	t := e.w.calls[c.id]
+// checkAnswer checks that the answer belongs to this call, or to the one call
+// that ran with its key.
+func (e *entry) checkAnswer(c *clientAttempt, out *wire.Outcome) {
+	t := e.w.attempts[c.id]
 	if out.Replayed && e.w.keyRuns[t.key] == 1 {
 		return
 	}
 	if t.runs != 1 || string(out.Body) != string(c.id[:]) {
-		e.w.violate("%s is answered, ran %d times, with the answer of %x", c.id, t.runs, out.Body)
+		e.w.violation("%s ran %d times and got the answer of %x", c.id, t.runs, out.Body)
 	}
 }
 
-// giveUp ends the entry's interest and has the agent free what it holds.
-func (e *entry) giveUp(c *call) {
+// abandon forgets an attempt and makes its agent free what it holds for it.
+func (e *entry) abandon(c *clientAttempt) {
 	delete(e.attempts, c.id)
-	e.w.calls[c.id].gone = e.w.now
+	e.w.attempts[c.id].disconnectedAt = e.w.now
 	e.cancels[c.id] = c.agent
 	e.w.links[pair{e.index, c.agent}].toAgent(&wire.Cancel{ID: c.id})
 }
@@ -219,38 +224,39 @@
 func (e *entry) handle(m wire.Message, agent int) {
 	switch m := m.(type) {
 	case *wire.Pong:
-		e.leaving[agent] = m.Load.Draining
+		e.draining[agent] = m.Load.Draining
 	case *wire.Cancelled:
 		delete(e.cancels, m.ID)
-		if t := e.w.calls[m.ID]; t != nil {
+		if t := e.w.attempts[m.ID]; t != nil {
 			t.phase = Ended
 		}
 	case wire.Attempted:
 		if c, ok := e.attempts[m.Attempt()]; ok {
-			e.step(c, c.machine.Receive(m))
+			e.apply(c, c.machine.Receive(m))
 		}
 	}
 }
 
-// linkChanged tells the attempts of an agent about their connection.
+// linkChanged notifies the attempts at an agent that the connection to it is up
+// or down.
 func (e *entry) linkChanged(agent int, up bool, inc wire.Incarnation) {
-	e.leaving[agent] = false
-	for _, id := range sorted(e.attempts) {
+	e.draining[agent] = false
+	for _, id := range sortedIDs(e.attempts) {
 		c := e.attempts[id]
 		if c == nil || c.agent != agent {
 			continue
 		}
 		if up {
 			c.downSince = time.Time{}
-			e.step(c, c.machine.Connected(inc))
+			e.apply(c, c.machine.Connected(inc))
 			continue
 		}
 		since := e.w.now
 		c.downSince = since
-		e.w.after(linkGrace, func() {
-			e.when(func() {
+		e.w.after(reconnectTimeout, func() {
+			e.deliver(func() {
 				if e.attempts[c.id] == c && c.downSince.Equal(since) {
-					e.step(c, c.machine.Lost())
+					e.apply(c, c.machine.Lost())
 				}
 			})
 		})
@@ -261,7 +267,7 @@
 	e.w.note("entry %d ends", e.index)
 	e.up = false
 	for id := range e.attempts {
-		e.w.calls[id].gone = e.w.now
+		e.w.attempts[id].disconnectedAt = e.w.now
 	}
 	for a := range agentCount {
 		e.w.links[pair{e.index, a}].cut()
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -6,85 +6,87 @@
 	"ebonypulley/wire"
 )
 
-// Times of the failures.
+// Timing of the faults.
 const (
-	meanFault    = 700 * time.Millisecond
-	maxDown      = 6 * time.Second
-	maxPartition = 8 * time.Second
-	// pairShare is how often another failure follows at once.
-	pairShare = 0.4
+	meanFaultInterval = 700 * time.Millisecond
+	maxDown           = 6 * time.Second
+	maxPartition      = 8 * time.Second
+	// anotherFaultFraction is the probability of one more fault at the same time.
+	anotherFaultFraction = 0.4
 )
 
-// fault brings about one failure, often two together.
-func (w *world) fault() {
-	w.after(w.between(0, 2*meanFault), w.fault)
+// injectFaults injects one fault, often several at the same time, and schedules
+// the next.
+func (w *world) injectFaults() {
+	w.after(w.between(0, 2*meanFaultInterval), w.injectFaults)
 	if !w.set.Faults {
 		return
 	}
-	w.one()
-	for w.chance(pairShare) {
-		w.one()
+	w.injectFault()
+	for w.chance(anotherFaultFraction) {
+		w.injectFault()
 	}
 }
 
-func (w *world) one() {
+// injectFault injects a random fault at a random entry and agent.
+func (w *world) injectFault() {
 	e := w.entries[w.rnd.IntN(entryCount)]
 	a := w.agents[w.rnd.IntN(agentCount)]
 	l := w.links[pair{e.index, a.index}]
-	f := Faults[w.rnd.IntN(len(Faults)-1)] // answer-lost comes with the runs
+	f := Faults[w.rnd.IntN(len(Faults)-1)] // without AnswerLost, which agent.Run injects
 	w.note("fault %s: entry %d, agent %d", f, e.index, a.index)
-	w.hit(f, func(id wire.ID) bool { return w.touches(f, id, e, a) })
+	w.recordFault(f, func(id wire.ID) bool { return w.affects(f, id, e, a) })
 	switch f {
 	case Cut:
 		l.cut()
 	case Silence:
 		l.silent = true
 	case Partition:
-		w.part()
-	case Crash:
+		w.startPartition()
+	case AgentCrash:
 		if a.up {
 			a.crash()
 			w.after(w.between(0, maxDown), a.restart)
 		}
-	case EntryDown:
+	case EntryCrash:
 		if e.up {
 			e.crash()
 			w.after(w.between(0, maxDown), e.start)
 		}
-	case Pause:
+	case AgentPause:
 		a.pauses++
-		a.nap = w.now.Add(w.between(0, maxNap))
-		w.after(a.nap.Sub(w.now), a.wake)
-	case EntryNap:
-		e.nap = w.now.Add(w.between(0, maxNap))
-		w.after(e.nap.Sub(w.now), e.wake)
+		a.pausedUntil = w.now.Add(w.between(0, maxPause))
+		w.after(a.pausedUntil.Sub(w.now), a.resume)
+	case EntryPause:
+		e.pausedUntil = w.now.Add(w.between(0, maxPause))
+		w.after(e.pausedUntil.Sub(w.now), e.resume)
 	case Drain:
 		a.drain()
 	}
 }
 
-func (w *world) part() {
-	if w.parted {
+func (w *world) startPartition() {
+	if w.partitioned {
 		return
 	}
-	w.parted = true
+	w.partitioned = true
 	w.after(w.between(0, maxPartition), func() {
-		w.parted = false
+		w.partitioned = false
 		w.note("the partition heals")
 	})
 }
 
-// touches reports whether a failure concerns an attempt.
-func (w *world) touches(f Fault, id wire.ID, e *entry, a *agent) bool {
-	c, mine := e.attempts[id]
+// affects reports whether a fault at an entry and an agent affects an attempt.
+func (w *world) affects(f Fault, id wire.ID, e *entry, a *agent) bool {
+	c, ofEntry := e.attempts[id]
 	switch f {
 	case Cut, Silence:
-		return mine && c.agent == a.index
+		return ofEntry && c.agent == a.index
 	case Partition:
 		return true
-	case EntryDown, EntryNap:
-		return mine
+	case EntryCrash, EntryPause:
+		return ofEntry
 	default:
-		return a.up && (a.server.Known(id) || mine && c.agent == a.index)
+		return a.up && (a.server.Known(id) || ofEntry && c.agent == a.index)
 	}
 }
--- a/soak/network.go
+++ b/soak/network.go
@@ -8,41 +8,43 @@
 	"ebonypulley/wire"
 )
 
-// link is the connection between an entry and an agent. Within one epoch
-// messages keep their order; a cut loses those under way, or lets some of
-// them reach the agent late, beside the next connection.
+// link is the connection between an entry and an agent. Each new connection is
+// an epoch, within which messages keep their order. A cut loses the messages in
+// transit, except that some reach the agent late, along with those of the next
+// connection.
 type link struct {
-	w      *world
-	pair   pair
-	up     bool
-	silent bool
-	epoch  int
-	inc    wire.Incarnation // of the agent at the other end
-	heard  time.Time        // by the entry
-	out    time.Time        // arrival of the last message to the agent
-	back   time.Time        // arrival of the last message to the entry
+	w                *world
+	pair             pair
+	up               bool
+	silent           bool
+	epoch            int
+	agentIncarnation wire.Incarnation // when the connection was made
+	lastReceived     time.Time        // when the entry last received a message
+	lastToAgent      time.Time        // when the last message to the agent arrives
+	lastToEntry      time.Time        // when the last message to the entry arrives
 }
 
-// Times of the network.
+// Timing of the network. The fractions are probabilities per message.
 const (
-	minDelay  = 200 * time.Microsecond
-	maxDelay  = 5 * time.Millisecond
-	slowDelay = 400 * time.Millisecond
-	slowShare = 0.02
-	lateShare = 0.3
-	maxLate   = 4 * time.Second
-	redial    = 50 * time.Millisecond
+	minDelay       = 200 * time.Microsecond
+	maxDelay       = 5 * time.Millisecond
+	slowDelay      = 400 * time.Millisecond
+	slowFraction   = 0.02
+	lateFraction   = 0.3
+	maxLateDelay   = 4 * time.Second
+	redialInterval = 50 * time.Millisecond
 )
 
 func (l *link) delay() time.Duration {
-	if l.w.chance(slowShare) {
+	if l.w.chance(slowFraction) {
 		return l.w.between(minDelay, slowDelay)
 	}
 	return l.w.between(minDelay, maxDelay)
 }
 
-// arrival keeps the order of a connection.
-func (l *link) arrival(last *time.Time) time.Duration {
+// delayAfter returns the delay of the next message in one direction, which
+// arrives no earlier than the last one, and updates last.
+func (l *link) delayAfter(last *time.Time) time.Duration {
 	at := l.w.now.Add(l.delay())
 	if at.Before(*last) {
 		at = *last
@@ -51,39 +53,39 @@
 	return at.Sub(l.w.now)
 }
 
-// parted reports whether a partition lies between the two ends.
-func (l *link) parted() bool { return l.w.parted && l.pair.entry%2 != l.pair.agent%2 }
+// partitioned reports whether a partition separates the two ends.
+func (l *link) partitioned() bool { return l.w.partitioned && l.pair.entry%2 != l.pair.agent%2 }
 
 func (l *link) toAgent(m wire.Message) {
 	if !l.up {
 		return
 	}
 	e, a := l.w.entries[l.pair.entry], l.w.agents[l.pair.agent]
-	epoch, holder, inc := l.epoch, e.inc, l.inc
-	l.w.after(l.arrival(&l.out), func() {
-		lost := l.silent || l.parted()
+	epoch, holder, inc := l.epoch, e.incarnation, l.agentIncarnation
+	l.w.after(l.delayAfter(&l.lastToAgent), func() {
+		lost := l.silent || l.partitioned()
 		current := l.up && l.epoch == epoch
 		if lost {
 			return
 		}
 		if !current {
-			l.late(m, holder, inc)
+			l.deliverLate(m, holder, inc)
 			return
 		}
-		a.when(func() { a.handle(e, holder, m) })
+		a.deliver(func() { a.handle(e, holder, m) })
 	})
 }
 
-// late delivers a message of an ended connection from the agent's socket
-// buffer, if that process still lives.
-func (l *link) late(m wire.Message, holder wire.Incarnation, inc wire.Incarnation) {
-	if !l.w.chance(lateShare) {
+// deliverLate may deliver a message of a closed connection from the agent's
+// socket buffer, if that agent process is still up.
+func (l *link) deliverLate(m wire.Message, holder wire.Incarnation, inc wire.Incarnation) {
+	if !l.w.chance(lateFraction) {
 		return
 	}
 	e, a := l.w.entries[l.pair.entry], l.w.agents[l.pair.agent]
-	l.w.after(l.w.between(0, maxLate), func() {
-		if a.up && a.inc == inc {
-			a.when(func() { a.handle(e, holder, m) })
+	l.w.after(l.w.between(0, maxLateDelay), func() {
+		if a.up && a.incarnation == inc {
+			a.deliver(func() { a.handle(e, holder, m) })
 		}
 	})
 }
@@ -94,22 +96,23 @@
 	}
 	e := l.w.entries[l.pair.entry]
 	epoch := l.epoch
-	l.w.after(l.arrival(&l.back), func() {
-		if !l.up || l.epoch != epoch || l.silent || l.parted() {
+	l.w.after(l.delayAfter(&l.lastToEntry), func() {
+		if !l.up || l.epoch != epoch || l.silent || l.partitioned() {
 			return
 		}
-		l.heard = l.w.now
-		e.when(func() {
-			if e.inc == holder {
+		l.lastReceived = l.w.now
+		e.deliver(func() {
+			if e.incarnation == holder {
 				e.handle(m, l.pair.agent)
 			}
 		})
 	})
 }
 
-// watch replaces a connection on which nothing came for too long.
-func (l *link) watch() {
-	if l.up && l.w.now.Sub(l.heard) > silence {
+// checkIdle cuts a connection on which the entry has received nothing for longer
+// than idleTimeout.
+func (l *link) checkIdle() {
+	if l.up && l.w.now.Sub(l.lastReceived) > idleTimeout {
 		l.w.note("entry %d replaces its silent connection to agent %d", l.pair.entry, l.pair.agent)
 		l.cut()
 	}
@@ -121,32 +124,32 @@
 	}
 	l.up = false
 	e := l.w.entries[l.pair.entry]
-	e.when(func() { e.linkChanged(l.pair.agent, false, wire.Incarnation{}) })
-	l.w.after(redial+l.w.between(0, redial), l.connect)
+	e.deliver(func() { e.linkChanged(l.pair.agent, false, wire.Incarnation{}) })
+	l.w.after(redialInterval+l.w.between(0, redialInterval), l.connect)
 }
 
-// connect dials until both ends are there.
+// connect dials until both processes run and no partition separates them.
 func (l *link) connect() {
 	e, a := l.w.entries[l.pair.entry], l.w.agents[l.pair.agent]
 	if l.up {
 		return
 	}
-	if !e.awake() || !a.awake() || l.parted() {
-		l.w.after(redial+l.w.between(0, 4*redial), l.connect)
+	if !e.running() || !a.running() || l.partitioned() {
+		l.w.after(redialInterval+l.w.between(0, 4*redialInterval), l.connect)
 		return
 	}
 	l.up = true
 	l.silent = false
 	l.epoch++
-	l.inc = a.inc
-	l.heard = l.w.now
-	a.gate.Renew(l.w.now, e.inc)
-	e.linkChanged(l.pair.agent, true, a.inc)
+	l.agentIncarnation = a.incarnation
+	l.lastReceived = l.w.now
+	a.leases.Renew(l.w.now, e.incarnation)
+	e.linkChanged(l.pair.agent, true, a.incarnation)
 }
 
-// sorted returns the IDs of a map in order, so that one seed gives one
+// sortedIDs returns the IDs of a map in order, so that a seed determines the
 // history.
-func sorted[V any](m map[wire.ID]V) []wire.ID {
+func sortedIDs[V any](m map[wire.ID]V) []wire.ID {
 	ids := make([]wire.ID, 0, len(m))
 	for id := range m {
 		ids = append(ids, id)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -8,8 +8,8 @@
 	"ebonypulley/soak"
 )
 
-// TestSoak: one seed gives one history, no history breaks a promise, and
-// together they cover every failure in every phase that it can meet.
+// TestSoak: a seed determines its history, no history violates an invariant, and
+// together the histories cover each fault in each phase in which it can occur.
 func TestSoak(t *testing.T) {
 	matrix := make(map[soak.Cell]int)
 	for seed := range uint64(6) {
@@ -23,7 +23,7 @@
 	}
 	for _, f := range soak.Faults {
 		for _, p := range []soak.Phase{soak.Offering, soak.Waiting, soak.Granted, soak.Running} {
-			if f == soak.Lost && p != soak.Running {
+			if f == soak.AnswerLost && p != soak.Running {
 				continue // an answer can only be lost while its call runs
 			}
 			assert.Positive(t, matrix[soak.Cell{Fault: f, Phase: p}], "%s in phase %s", f, p)
@@ -31,8 +31,9 @@
 	}
 }
 
-// Without failures every call is answered or truthfully refused.
-func TestCalmWorldHasNoUnknown(t *testing.T) {
+// TestSoakWithoutFaults: without faults, no invariant is violated and calls are
+// answered.
+func TestSoakWithoutFaults(t *testing.T) {
 	r := soak.Run(soak.Settings{Seed: 1, Steps: 50_000})
 	assert.Empty(t, r.Violations)
 	assert.Positive(t, r.Outcomes["answered"])
--- a/soak/world.go
+++ b/soak/world.go
@@ -1,8 +1,8 @@
-// Package soak drives the decision machines of entries and agents through
-// long random histories in virtual time, over a network that loses, delays,
-// repeats, silences and partitions, with processes that crash, restart, pause
-// and drain. One seed gives one history. What must always hold is checked
-// against what the world, which sees everything, knows.
+// Package soak is a randomized simulation test of the state machines of entries
+// and agents. It drives them through long random histories in virtual time, over
+// a network that loses, delays, repeats, silences and partitions, with processes
+// that crash, restart, pause and drain. A seed determines its history. The
+// invariants are checked against the simulation's own record of each call.
 package soak
 
 import (
@@ -18,62 +18,64 @@
 	"ebonypulley/wire"
 )
 
-// Settings of a run.
+// Settings are the settings of a run.
 type Settings struct {
 	Seed  uint64
 	Steps int
-	// Faults turns failures on.
+	// Faults enables faults.
 	Faults bool
 }
 
-// Report is what a run did and found.
+// Report is the result of a run.
 type Report struct {
 	Seed     uint64
 	Steps    int
 	Requests int
 	Faults   int
-	// Hash identifies the history.
+	// Hash is the hash of the history.
 	Hash uint64
-	// Matrix counts the faults that hit an attempt, by its phase.
+	// Matrix counts the attempts affected by each kind of fault, by their phase.
 	Matrix map[Cell]int
-	// Outcomes counts what callers were told.
+	// Outcomes counts the outcomes reported to callers.
 	Outcomes map[string]int
-	// Violations are what did not hold; History is what came before.
+	// Violations are the invariants violated; History is the end of the history
+	// up to them.
 	Violations []string
 	History    []string
-	// Freed is the longest time that an agent, awake, held for somebody gone.
-	Freed time.Duration
+	// LongestStaleLease is the longest time, without pauses of the agent, that an
+	// agent kept a lease after its caller or entry had disconnected.
+	LongestStaleLease time.Duration
 }
 
-// Cell is one field of the matrix of faults and phases.
+// Cell is one cell of the matrix of faults and phases.
 type Cell struct {
 	Fault Fault
 	Phase Phase
 }
 
-// Fault is a kind of failure.
+// Fault is a kind of fault.
 type Fault string
 
-// Faults.
+// The kinds of faults.
 const (
-	Cut       Fault = "cut"
-	Silence   Fault = "silence"
-	Partition Fault = "partition"
-	Crash     Fault = "agent-crash"
-	EntryDown Fault = "entry-crash"
-	Pause     Fault = "agent-pause"
-	EntryNap  Fault = "entry-pause"
-	Drain     Fault = "drain"
-	Lost      Fault = "answer-lost"
+	Cut        Fault = "cut"
+	Silence    Fault = "silence"
+	Partition  Fault = "partition"
+	AgentCrash Fault = "agent-crash"
+	EntryCrash Fault = "entry-crash"
+	AgentPause Fault = "agent-pause"
+	EntryPause Fault = "entry-pause"
+	Drain      Fault = "drain"
+	AnswerLost Fault = "answer-lost"
 )
 
-// Faults lists all kinds.
-var Faults = []Fault{Cut, Silence, Partition, Crash, EntryDown, Pause, EntryNap, Drain, Lost}
+// Faults lists all kinds of faults.
+var Faults = []Fault{Cut, Silence, Partition, AgentCrash, EntryCrash, AgentPause, EntryPause, Drain, AnswerLost}
 
-// Phase is where an attempt stands, as the world sees it.
+// Phase is the phase of an attempt in the simulation's own record.
 type Phase string
 
-// Phases.
+// The phases of an attempt, in order.
 const (
 	Offering Phase = "offering"
 	Waiting  Phase = "waiting"
@@ -85,81 +87,84 @@
 // Phases lists all phases.
 var Phases = []Phase{Offering, Waiting, Granted, Running, Ended}
 
-// Sizes of the world.
+// Sizes of the simulation.
 const (
-	agentCount  = 3
-	entryCount  = 3
-	historyKept = 200
-	keysKept    = 40
+	agentCount   = 3
+	entryCount   = 3
+	historyLines = 200
+	reusableKeys = 40
 )
 
-type moment struct {
+// timedEvent is a function to be run at a virtual time; seq orders events of the
+// same time.
+type timedEvent struct {
 	at  time.Time
 	seq uint64
-	do  func()
+	fn  func()
 }
 
-type agenda []moment
+type eventQueue []timedEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	if !a[i].at.Equal(a[j].at) {
 		return a[i].at.Before(a[j].at)
 	}
 	return a[i].seq < a[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(moment)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(timedEvent)) }
+func (a *eventQueue) Pop() any {
 	old := *a
 	m := old[len(old)-1]
 	*a = old[:len(old)-1]
 	return m
 }
 
-// world is everything: time, processes, network, and the truth about calls.
+// world is the whole simulation: virtual time, processes, network, and the
+// record of what happened to each attempt.
 type world struct {
 	set     Settings
 	rnd     *rand.Rand
 	now     time.Time
 	seq     uint64
-	agenda  agenda
+	queue   eventQueue
 	report  Report
 	hash    *xxhash.Digest
 	history []string
 
-	agents  []*agent
-	entries []*entry
-	links   map[pair]*link
-	parted  bool
-	calls   map[wire.ID]*truth
-	keyRuns map[string]int
-	keys    []string
-	minted  uint64
+	agents      []*agent
+	entries     []*entry
+	links       map[pair]*link
+	partitioned bool
+	attempts    map[wire.ID]*groundTruth
+	keyRuns     map[string]int
+	keys        []string
+	idCount     uint64
 }
 
-// truth is what really became of an attempt.
-type truth struct {
-	key    string
-	phase  Phase
-	runs   int
-	denied bool
-	// gone is when its caller or entry went away; zero while it waits.
-	gone time.Time
+// groundTruth is what really happened to an attempt.
+type groundTruth struct {
+	key            string
+	phase          Phase
+	runs           int
+	reportedNotRun bool
+	// disconnectedAt is when its caller or entry disconnected; zero while it waits.
+	disconnectedAt time.Time
 }
 
 type pair struct{ entry, agent int }
 
-// Run makes one run.
+// Run runs one simulation, until it has made all steps or found a violation.
 func Run(set Settings) Report {
 	w := newWorld(set)
-	restore := invariant.SetHandler(func(r invariant.Rule, detail string) { w.violate("%s: %s", r, detail) })
+	restore := invariant.SetHandler(func(r invariant.Rule, detail string) { w.violation("%s: %s", r, detail) })
 	defer restore()
 	for w.report.Steps < set.Steps && len(w.report.Violations) == 0 {
-		m := heap.Pop(&w.agenda).(moment)
+		m := heap.Pop(&w.queue).(timedEvent)
 		w.now = m.at
 		w.report.Steps++
-		m.do()
+		m.fn()
 	}
 	w.report.Hash = w.hash.Sum64()
 	w.report.History = w.history
@@ -168,14 +173,14 @@
 
 func newWorld(set Settings) *world {
 	w := &world{
-		set:     set,
-		rnd:     rand.New(rand.NewPCG(set.Seed, 0)),
-		now:     time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
-		hash:    xxhash.New(),
-		links:   make(map[pair]*link),
-		calls:   make(map[wire.ID]*truth),
-		keyRuns: make(map[string]int),
-		report:  Report{Seed: set.Seed, Matrix: make(map[Cell]int), Outcomes: make(map[string]int)},
+		set:      set,
+		rnd:      rand.New(rand.NewPCG(set.Seed, 0)),
+		now:      time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
+		hash:     xxhash.New(),
+		links:    make(map[pair]*link),
+		attempts: make(map[wire.ID]*groundTruth),
+		keyRuns:  make(map[string]int),
+		report:   Report{Seed: set.Seed, Matrix: make(map[Cell]int), Outcomes: make(map[string]int)},
 	}
 	for i := range agentCount {
 		w.agents = append(w.agents, newAgent(w, i))
@@ -193,17 +198,17 @@
 		a.tick()
 	}
 	for _, e := range w.entries {
-		e.beat()
-		e.arrive()
+		e.sendHeartbeats()
+		e.sendRequests()
 	}
-	w.after(w.between(0, time.Second), w.fault)
+	w.after(w.between(0, time.Second), w.injectFaults)
 	w.after(sweepInterval, w.sweep)
 	return w
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *world) after(d time.Duration, fn func()) {
 	w.seq++
-	heap.Push(&w.agenda, moment{at: w.now.Add(d), seq: w.seq, do: do})
+	heap.Push(&w.queue, timedEvent{at: w.now.Add(d), seq: w.seq, fn: fn})
 }
 
 func (w *world) between(lo, hi time.Duration) time.Duration {
@@ -212,7 +217,7 @@
 
 func (w *world) chance(p float64) bool { return w.rnd.Float64() < p }
 
-// note adds a line to the history and its hash.
+// note adds a line to the history and to its hash.
 func (w *world) note(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
 	var at [8]byte
@@ -220,129 +225,134 @@
 	_, _ = w.hash.Write(at[:])
 	_, _ = w.hash.WriteString(line)
 	w.history = append(w.history, w.now.Format("15:04:05.000 ")+line)
-	if len(w.history) > 2*historyKept {
-		w.history = append(w.history[:0], w.history[len(w.history)-historyKept:]...)
+	if len(w.history) > 2*historyLines {
+		w.history = append(w.history[:0], w.history[len(w.history)-historyLines:]...)
 	}
 }
 
-func (w *world) violate(format string, args ...any) {
+func (w *world) violation(format string, args ...any) {
 	w.report.Violations = append(w.report.Violations, fmt.Sprintf(format, args...))
 	w.note("VIOLATION "+format, args...)
 }
 
-// newID mints a UUIDv7 of the world's time, so that one seed gives one
-// history.
-func (w *world) newID() wire.ID { return w.mint(w.now) }
+// newID creates a UUIDv7 of the virtual time from a counter instead of random
+// bits, so that a seed determines the history.
+func (w *world) newID() wire.ID { return w.newIDAt(w.now) }
 
-// mint is newID by a clock that may be off.
-func (w *world) mint(at time.Time) wire.ID {
-	w.minted++
+// newIDAt is like newID, for the clock of a caller, which may be wrong.
+func (w *world) newIDAt(at time.Time) wire.ID {
+	w.idCount++
 	var x wire.ID
 	var ms [8]byte
 	binary.BigEndian.PutUint64(ms[:], uint64(at.UnixMilli()))
 	copy(x[:6], ms[2:])
-	binary.BigEndian.PutUint64(x[8:], w.minted)
+	binary.BigEndian.PutUint64(x[8:], w.idCount)
 	x[6] = 0x70
 	x[8] = 0x80
 	return x
 }
 
-// ran records that the service ran a call.
-func (w *world) ran(id wire.ID) {
-	t := w.calls[id]
+// recordRun records that the service ran a call.
+func (w *world) recordRun(id wire.ID) {
+	t := w.attempts[id]
 	if t == nil {
-		w.violate("%s ran long after its end", id)
+		w.violation("%s ran long after its phase was ended", id)
 		return
 	}
 	t.runs++
 	t.phase = Running
 	if t.runs > 1 {
-		w.violate("%s ran %d times", id, t.runs)
+		w.violation("%s ran %d times", id, t.runs)
 	}
-	if t.denied {
-		w.violate("%s ran after its caller was told it did not", id)
+	if t.reportedNotRun {
+		w.violation("%s ran after its caller was told that it did not run", id)
 	}
 	if t.key == "" {
 		return
 	}
 	w.keyRuns[t.key]++
 	if w.keyRuns[t.key] > 1 {
-		w.violate("the call with key %s ran %d times", t.key, w.keyRuns[t.key])
+		w.violation("the call with key %s ran %d times", t.key, w.keyRuns[t.key])
 	}
 }
 
-// denied records that a caller was told "not run".
-func (w *world) denied(id wire.ID) {
-	t := w.calls[id]
-	t.denied = true
+// recordNotRun records that a caller was told that its attempt did not run.
+func (w *world) recordNotRun(id wire.ID) {
+	t := w.attempts[id]
+	t.reportedNotRun = true
 	if t.runs > 0 {
-		w.violate("%s is called not run, but ran", id)
+		w.violation("%s was reported as not run, but ran", id)
 	}
 }
 
-// freedBound is how long an agent that is awake may keep a lease for somebody
-// who has gone: the lease time after the last heartbeat, which may arrive
-// late, the grace after a pause and a little; once more for each pause,
-// because heartbeats sent before the end are then read late.
-const freedBound = leaseTTL + maxLate + pauseLength + time.Second
-
-// overdue counts an agent's time awake since it holds for somebody gone.
-type overdue struct {
-	awake  time.Duration
+// maxStaleLease is how long an agent may keep a lease after its caller or entry
+// has disconnected, not counting pauses of the agent: the lease TTL after the
+// last heartbeat, which may arrive late, plus the extension after a pause and a
+// margin of one second. It applies once more for each pause, because heartbeats
+// sent before the disconnect are then read late.
+const maxStaleLease = leaseTTL + maxLateDelay + pauseThreshold + time.Second
+
+// staleLease measures how long an agent has kept a lease whose caller or entry
+// has disconnected, without the agent's pauses.
+type staleLease struct {
+	age    time.Duration
 	pauses int
 }
 
 const sweepInterval = 250 * time.Millisecond
 
-// sweep looks at what should not last.
+// sweep checks for stale leases and deletes old records of attempts.
 func (w *world) sweep() {
 	w.after(sweepInterval, w.sweep)
 	for _, a := range w.agents {
-		if !a.awake() {
+		if !a.running() {
 			continue
 		}
-		for id := range a.held {
-			w.checkHeld(a, id)
+		for id := range a.leased {
+			w.checkLease(a, id)
 		}
 	}
-	for id, t := range w.calls {
-		if t.phase == Ended && !t.gone.IsZero() && w.now.Sub(t.gone) > forgetAfter {
-			delete(w.calls, id)
+	for id, t := range w.attempts {
+		if t.phase == Ended && !t.disconnectedAt.IsZero() && w.now.Sub(t.disconnectedAt) > truthRetention {
+			delete(w.attempts, id)
 		}
 	}
 }
 
-// forgetAfter bounds the world's own memory; a late Start can't be that late.
-const forgetAfter = 40 * time.Second
+// truthRetention is how long the record of an ended attempt is kept, to bound
+// memory. It is longer than any Start message can be delayed.
+const truthRetention = 40 * time.Second
 
-func (w *world) checkHeld(a *agent, id wire.ID) {
-	t := w.calls[id]
-	if t == nil || t.gone.IsZero() || t.phase == Running {
+// checkLease reports a violation if an agent keeps a lease for too long after
+// its caller or entry has disconnected.
+func (w *world) checkLease(a *agent, id wire.ID) {
+	t := w.attempts[id]
+	if t == nil || t.disconnectedAt.IsZero() || t.phase == Running {
 		return
 	}
-	o, ok := a.overdue[id]
+	o, ok := a.staleLeases[id]
 	if !ok {
-		o = &overdue{pauses: a.pauses}
-		a.overdue[id] = o
+		o = &staleLease{pauses: a.pauses}
+		a.staleLeases[id] = o
 	}
-	o.awake += sweepInterval
-	w.report.Freed = max(w.report.Freed, o.awake)
-	if bound := freedBound * time.Duration(1+a.pauses-o.pauses); o.awake > bound {
-		w.violate("agent %d holds %s %s after its caller went", a.index, id, o.awake)
+	o.age += sweepInterval
+	w.report.LongestStaleLease = max(w.report.LongestStaleLease, o.age)
+	if bound := maxStaleLease * time.Duration(1+a.pauses-o.pauses); o.age > bound {
+		w.violation("agent %d still holds a lease for %s, %s after its caller disconnected", a.index, id, o.age)
 	}
 }
 
-// hit counts a fault against the attempts that it touches.
-func (w *world) hit(f Fault, touched func(id wire.ID) bool) {
+// recordFault counts a fault in the matrix for each attempt that it affects.
+func (w *world) recordFault(f Fault, affected func(id wire.ID) bool) {
 	w.report.Faults++
-	for id, t := range w.calls {
-		if t.phase != Ended && touched(id) {
+	for id, t := range w.attempts {
+		if t.phase != Ended && affected(id) {
 			w.report.Matrix[Cell{f, t.phase}]++
 		}
 	}
 }
 
-// Add adds another run to a report.
+// Add adds the results of another run. The hashes are combined in order.
 func (r *Report) Add(other Report) {
 	r.Steps += other.Steps
 	r.Requests += other.Requests
@@ -355,8 +365,9 @@
 		r.Outcomes[outcome] += n
 	}
 	r.Violations = append(r.Violations, other.Violations...)
-	r.Freed = max(r.Freed, other.Freed)
+	r.LongestStaleLease = max(r.LongestStaleLease, other.LongestStaleLease)
 }
 
-// hashFactor makes the sum of hashes depend on their order.
+// hashFactor makes the combined hash depend on the order of the runs. It is the
+// prime of 64-bit FNV.
 const hashFactor = 1_099_511_628_211
