--- a/soak/processes/caller.go
+++ b/soak/processes/caller.go
@@ -13,106 +13,108 @@
 	"ebonypulley/standin"
 )
 
-// kind is a kind of request.
-type kind struct {
+// requestKind is a kind of request that callers send.
+type requestKind struct {
 	path   string
 	stream bool
-	// once: it may run at most once.
-	once bool
+	// atMostOnce requests must not run more than once.
+	atMostOnce bool
 }
 
-var kinds = []kind{
+var requestKinds = []requestKind{
 	{path: "/look/"},
-	{path: "/book/", once: true},
+	{path: "/book/", atMostOnce: true},
 	{path: "/draft/", stream: true},
-	{path: "/letter/", stream: true, once: true},
+	{path: "/letter/", stream: true, atMostOnce: true},
 }
 
-// leaveShare is the share of callers that leave before their answer ends.
-const leaveShare = 0.1
+// disconnectFraction is the fraction of requests whose caller disconnects,
+// possibly before the answer is complete.
+const disconnectFraction = 0.1
 
-// callers sends requests to all entries until ctx ends. Each caller keeps its
-// connections as long as they stand.
-func (r *run) callers(ctx context.Context) {
-	for i := range callersCount {
+// startCallers starts callers that send requests to all entries until ctx ends.
+// Each caller reuses its connections as long as they are up.
+func (r *run) startCallers(ctx context.Context) {
+	for i := range callerCount {
 		r.wg.Go(func() {
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}}
 			defer client.CloseIdleConnections()
 			for n := 0; ctx.Err() == nil; n++ {
-				who := r.identity()
-				id := attemptID(fmt.Sprintf("%d-%d-%d", r.set.Seed, i, n), who)
-				r.request(ctx, client, r.entries[r.random(len(r.entries))], kinds[r.random(len(kinds))], id, who)
-				time.Sleep(time.Duration(r.random(40)) * time.Millisecond)
+				caller := r.pickIdentity()
+				id := attemptID(fmt.Sprintf("%d-%d-%d", r.set.Seed, i, n), caller)
+				r.request(ctx, client, r.entries[r.randomInt(len(r.entries))], requestKinds[r.randomInt(len(requestKinds))], id, caller)
+				time.Sleep(time.Duration(r.randomInt(40)) * time.Millisecond)
 			}
 		})
 	}
 }
 
-// callersCount is the number of callers at once.
-const callersCount = 12
+// callerCount is the number of concurrent callers.
+const callerCount = 12
 
-// request sends one request and judges its end.
-func (r *run) request(ctx context.Context, client *http.Client, e *entry, k kind, id string, who identity) {
-	began, life := time.Now(), e.lives()
-	ctx, cancel := context.WithTimeout(ctx, callerWait)
+// request sends one request and checks how it ends.
+func (r *run) request(ctx context.Context, client *http.Client, e *entry, k requestKind, id string, caller identity) {
+	began, process := time.Now(), e.processNumber()
+	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
-	left := r.float() < leaveShare
-	if left {
-		time.AfterFunc(time.Duration(r.random(600))*time.Millisecond, cancel)
+	disconnects := r.randomFloat() < disconnectFraction
+	if disconnects {
+		time.AfterFunc(time.Duration(r.randomInt(600))*time.Millisecond, cancel)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.listen+k.path, strings.NewReader("body of "+id))
 	if err != nil {
 		r.violation("request: %v", err)
 		return
 	}
-	if k.once {
-		r.mayRunOnce(id)
+	if k.atMostOnce {
+		r.recordAtMostOnce(id)
 	}
 	req.Host = "app.example"
-	standin.SetClientHeaders(req.Header, id, callerWait)
-	standin.SetKey(req.Header, who.key)
+	standin.SetClientHeaders(req.Header, id, callerTimeout)
+	standin.SetKey(req.Header, caller.key)
 	if k.stream {
-		standin.SetPromptHeaders(req.Header, promptTokens, outputTokens, r.random(1<<20))
+		standin.SetPromptHeaders(req.Header, promptTokens, outputTokens, r.randomInt(1<<20))
 	}
 	resp, err := client.Do(req)
 	if err == nil {
-		err = r.judge(resp, k, id)
+		err = r.checkAnswer(resp, k, id)
 		_ = resp.Body.Close()
-		r.checkIdentity(e, id, who, resp.StatusCode, began, life)
+		r.checkIdentity(e, id, caller, resp.StatusCode, began, process)
 	}
-	r.count(resp, err)
-	if left && ctx.Err() != nil {
-		r.checkFreed(e, id, time.Now(), life)
+	r.countOutcome(resp, err)
+	if disconnects && ctx.Err() != nil {
+		r.checkAborted(e, id, time.Now(), process)
 		return
 	}
-	if err != nil && ctx.Err() == nil && r.book.ran(id) > 0 && e.soundSince(began, life) && r.calmSince(began.Add(-linkMemory)) {
-		r.violation("%s: request %s to %s was cut without a failure around: %v", e.name, id, k.path, err)
+	if err != nil && ctx.Err() == nil && r.executions.count(id) > 0 && e.undisturbedSince(began, process) && r.faultFreeSince(began.Add(-faultAftermath)) {
+		r.violation("%s: request %s to %s was cut without a recent fault: %v", e.name, id, k.path, err)
 	}
 }
 
-// callerWait is how long a caller waits for a whole answer.
-const callerWait = 6 * time.Second
+// callerTimeout is how long a caller waits for a complete answer.
+const callerTimeout = 6 * time.Second
 
 var (
-	errMixed = errors.New("another request's answer")
-	errCut   = errors.New("cut")
+	errWrongAnswer  = errors.New("another request's answer")
+	errBrokenStream = errors.New("cut")
 )
 
-// judge reads an answer. It returns an error for one that visibly broke off.
-func (r *run) judge(resp *http.Response, k kind, id string) error {
+// checkAnswer reads and checks an answer. It returns an error if the answer is
+// wrong or visibly aborted.
+func (r *run) checkAnswer(resp *http.Response, k requestKind, id string) error {
 	switch {
 	case resp.StatusCode == http.StatusOK && k.stream:
-		return r.judgeStream(resp, id)
+		return r.checkStream(resp, id)
 	case resp.StatusCode == http.StatusOK:
 		body, err := io.ReadAll(resp.Body)
 		if err == nil && string(body) != "answer to "+id {
 			r.violation("request %s got %q", id, body)
-			return errMixed
+			return errWrongAnswer
 		}
 		return err
 	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
-		if k.once {
-			r.promised(id)
+		if k.atMostOnce {
+			r.recordNotRun(id)
 		}
 	case resp.StatusCode == http.StatusNotFound:
 		r.violation("request %s to %s got 404", id, k.path)
@@ -120,7 +122,7 @@
 	return nil
 }
 
-func (r *run) judgeStream(resp *http.Response, id string) error {
+func (r *run) checkStream(resp *http.Response, id string) error {
 	lines := bufio.NewScanner(resp.Body)
 	next := 1
 	for lines.Scan() {
@@ -130,15 +132,15 @@
 		}
 		if data != fmt.Sprintf("%s %d", id, next) {
 			r.violation("stream %s: event %d is %q", id, next, data)
-			return errMixed
+			return errWrongAnswer
 		}
 		next++
 	}
 	if err := lines.Err(); err != nil {
-		return errors.Join(errCut, err)
+		return errors.Join(errBrokenStream, err)
 	}
 	if next <= streamEvents {
-		r.violation("stream %s looks whole after %d of %d events", id, next-1, streamEvents)
+		r.violation("stream %s ended without an error after %d of %d events", id, next-1, streamEvents)
 	}
 	return nil
 }
--- a/soak/processes/check.go
+++ b/soak/processes/check.go
@@ -9,8 +9,8 @@
 	"ebonypulley/standin"
 )
 
-// count counts how a request ended.
-func (r *run) count(resp *http.Response, err error) {
+// countOutcome counts how a request ended.
+func (r *run) countOutcome(resp *http.Response, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Requests++
@@ -26,51 +26,53 @@
 	}
 }
 
-// promised notes that a caller was told that its request did not run.
-func (r *run) promised(id string) {
+// recordNotRun records that a caller was told that its request did not run.
+func (r *run) recordNotRun(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.promises = append(r.promises, id)
+	r.notRun = append(r.notRun, id)
 }
 
-// mayRunOnce notes a request that must not run twice.
-func (r *run) mayRunOnce(id string) {
+// recordAtMostOnce records a request that must not run more than once.
+func (r *run) recordAtMostOnce(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.once = append(r.once, id)
+	r.atMostOnce = append(r.atMostOnce, id)
 }
 
-// checkPromises judges, after the run, what ran.
-func (r *run) checkPromises() {
-	for _, id := range r.promises {
-		if r.book.ran(id) > 0 {
-			r.violation("request %s was refused as not run, and ran", id)
+// checkExecutions checks, after the run, that no request reported as not run
+// ran, and that no request ran more often than it may.
+func (r *run) checkExecutions() {
+	for _, id := range r.notRun {
+		if r.executions.count(id) > 0 {
+			r.violation("request %s was reported as not run, but ran", id)
 		}
 	}
-	for _, id := range r.once {
-		if n := r.book.ran(id); n > 1 {
-			r.violation("request %s may run once and ran %d times", id, n)
+	for _, id := range r.atMostOnce {
+		if n := r.executions.count(id); n > 1 {
+			r.violation("request %s may run at most once, but ran %d times", id, n)
 		}
 	}
 }
 
-// freeTime is how long a worker may go on for a caller who left.
-const freeTime = 1500 * time.Millisecond
+// abortTimeout is how long a worker may continue a request after its caller has
+// disconnected.
+const abortTimeout = 1500 * time.Millisecond
 
-// checkFreed looks whether a worker stops when its caller has left.
-func (r *run) checkFreed(e *entry, id string, left time.Time, life int) {
+// checkAborted checks that workers abort a request whose caller has disconnected.
+func (r *run) checkAborted(e *entry, id string, disconnectedAt time.Time, process int) {
 	r.wg.Go(func() {
-		time.Sleep(freeTime)
-		if r.book.working(id) && e.soundSince(left.Add(-linkMemory), life) && r.calmSince(left.Add(-linkMemory)) {
-			r.violation("a worker still works on %s, %s after its caller left %s", id, freeTime, e.name)
+		time.Sleep(abortTimeout)
+		if r.executions.isRunning(id) && e.undisturbedSince(disconnectedAt.Add(-faultAftermath), process) && r.faultFreeSince(disconnectedAt.Add(-faultAftermath)) {
+			r.violation("a worker still runs %s, %s after its caller disconnected from %s", id, abortTimeout, e.name)
 		}
 	})
 }
 
-// checkRecovered wants every entry to serve the newest route once all faults
+// checkRecovered checks that every entry serves the newest route once all faults
 // are over.
 func (r *run) checkRecovered(ctx context.Context) {
-	client := &http.Client{Timeout: callerWait, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: callerTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	path := fmt.Sprintf("/v%d/", r.version.Load())
 	for _, e := range r.entries {
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.listen+path, http.NoBody)
@@ -79,16 +81,16 @@
 			continue
 		}
 		req.Host = "app.example"
-		standin.SetClientHeaders(req.Header, attemptID("recovered-"+e.name, identity{workspace: school}), callerWait)
+		standin.SetClientHeaders(req.Header, attemptID("recovered-"+e.name, identity{workspace: school}), callerTimeout)
 		standin.SetKey(req.Header, schoolKey)
 		resp, err := client.Do(req)
 		if err != nil {
-			r.violation("%s does not answer %s after the last fault: %v", e.name, settleTime, err)
+			r.violation("%s does not answer %s after the last fault: %v", e.name, recoveryTime, err)
 			continue
 		}
 		_ = resp.Body.Close()
 		if resp.StatusCode != http.StatusOK {
-			r.violation("%s answers %d for the newest route, %s after the last fault", e.name, resp.StatusCode, settleTime)
+			r.violation("%s answers %d for the newest route, %s after the last fault", e.name, resp.StatusCode, recoveryTime)
 		}
 	}
 }
--- a/soak/processes/entry.go
+++ b/soak/processes/entry.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// entry is one entry VM: its processes follow each other.
+// entry is one entry VM. It runs one process at a time, and another after that
+// has ended.
 type entry struct {
 	run      *run
 	name     string
@@ -23,15 +24,15 @@
 
 	replacing atomic.Bool
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	ends chan struct{} // closed when the process has ended
-	// life counts the processes; harmed is when one was last killed, paused or
-	// found its store away.
-	life   int
-	harmed time.Time
-	// asked is set for an end that the run brought about.
-	asked bool
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	exited chan struct{} // closed when the process has exited
+	// processCount is the number of processes started so far; lastDisturbed is
+	// when the run last killed, paused or continued one.
+	processCount  int
+	lastDisturbed time.Time
+	// exitExpected is set when the run ends the process.
+	exitExpected bool
 }
 
 // writeSettings writes the settings file of an entry.
@@ -49,7 +50,7 @@
 	return os.WriteFile(e.settings, text, 0o600)
 }
 
-// start starts the next process.
+// start starts a new process.
 func (e *entry) start() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -58,69 +59,72 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	ends := make(chan struct{})
-	e.cmd, e.ends, e.asked = cmd, ends, false
-	e.life++
+	exited := make(chan struct{})
+	e.cmd, e.exited, e.exitExpected = cmd, exited, false
+	e.processCount++
 	go func() {
 		err := cmd.Wait()
-		close(ends)
+		close(exited)
 		e.mu.Lock()
-		asked := e.asked
+		expected := e.exitExpected
 		e.mu.Unlock()
-		if !asked {
-			e.run.violation("%s ended by itself: %v", e.name, err)
+		if !expected {
+			e.run.violation("%s exited unexpectedly: %v", e.name, err)
 		}
 	}()
 	return nil
 }
 
-// signal sends a signal to the process that runs.
+// signal sends a signal to the current process.
 func (e *entry) signal(s syscall.Signal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cmd != nil {
-		_ = e.cmd.Process.Signal(s) // one that has ended gets none
+		_ = e.cmd.Process.Signal(s) // fails if the process has exited
 	}
 }
 
-// harm notes that what happens here now is no fault of the program.
-func (e *entry) harm() {
+// markDisturbed records that the run disturbs the process now, so that the
+// effects don't count as violations.
+func (e *entry) markDisturbed() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.harmed = time.Now()
+	e.lastDisturbed = time.Now()
 }
 
-// soundSince reports whether the same process has run unharmed since at.
-func (e *entry) soundSince(at time.Time, life int) bool {
+// undisturbedSince reports whether the process of that number still runs and has
+// not been disturbed since at.
+func (e *entry) undisturbedSince(at time.Time, process int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.life == life && e.harmed.Before(at)
+	return e.processCount == process && e.lastDisturbed.Before(at)
 }
 
-func (e *entry) lives() int {
+// processNumber returns the number of the current process.
+func (e *entry) processNumber() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.life
+	return e.processCount
 }
 
-// stop ends the process by a signal, waits for it and starts the next one
-// after a pause.
-func (e *entry) stop(s syscall.Signal, pause time.Duration) {
+// restart sends the process a signal that ends it, waits for its exit, and
+// starts a new one after a pause.
+func (e *entry) restart(s syscall.Signal, pause time.Duration) {
 	e.mu.Lock()
-	e.asked = true
-	ends := e.ends
+	e.exitExpected = true
+	exited := e.exited
 	e.mu.Unlock()
 	if s == syscall.SIGKILL {
-		e.harm()
+		e.markDisturbed()
 	}
 	e.signal(s)
 	select {
-	case <-ends:
-	case <-time.After(graceful):
-		e.run.violation("%s did not end in %s after %s", e.name, graceful, s)
-		e.harm()
+	case <-exited:
+	case <-time.After(drainTimeout):
+		e.run.violation("%s did not exit within %s of %s", e.name, drainTimeout, s)
+		e.markDisturbed()
 		e.signal(syscall.SIGKILL)
-		<-ends
+		<-exited
 	}
 	time.Sleep(pause)
 	if err := e.start(); err != nil {
@@ -128,9 +132,9 @@
 	}
 }
 
-// graceful is the longest time from SIGTERM to the end: the grace and the
-// scheduling of a busy machine.
-const graceful = 8 * time.Second
+// drainTimeout is the maximum time from SIGTERM to the exit of a process: the
+// grace of 6 s and a margin for a busy machine.
+const drainTimeout = 8 * time.Second
 
 func newEntry(r *run, i int) (*entry, error) {
 	e := &entry{run: r, name: fmt.Sprintf("entry-%d", i)}
--- a/soak/processes/faults.go
+++ b/soak/processes/faults.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// fault is one kind of failure. Do brings it about and returns when it is over.
+// fault is a kind of fault. Its do function injects it and returns when it is
+// over.
 type fault struct {
 	name string
 	do   func(r *run)
 }
 
-// faults are those that a run draws from.
+// faults are the faults that a run picks from.
 var faults = []fault{
-	{"kill", func(r *run) { r.entry().replace(syscall.SIGKILL, r.ms(100, 1500)) }},
-	{"terminate", func(r *run) { r.entry().replace(syscall.SIGTERM, r.ms(50, 500)) }},
-	{"hang up", func(r *run) { r.entry().signal(syscall.SIGHUP) }},
+	{"kill", func(r *run) { r.randomEntry().replace(syscall.SIGKILL, r.randomMilliseconds(100, 1500)) }},
+	{"terminate", func(r *run) { r.randomEntry().replace(syscall.SIGTERM, r.randomMilliseconds(50, 500)) }},
+	{"hang up", func(r *run) { r.randomEntry().signal(syscall.SIGHUP) }},
 	{"pause", func(r *run) {
-		e := r.entry()
-		e.harm()
+		e := r.randomEntry()
+		e.markDisturbed()
 		e.signal(syscall.SIGSTOP)
-		time.Sleep(r.ms(200, 2500))
+		time.Sleep(r.randomMilliseconds(200, 2500))
 		e.signal(syscall.SIGCONT)
-		e.harm()
+		e.markDisturbed()
 	}},
 	{"kill all", func(r *run) {
 		for _, e := range r.entries {
@@ -32,119 +33,120 @@
 	}},
 	{"store down", func(r *run) {
 		r.store.SetDown(true)
-		time.Sleep(r.ms(300, 4000))
+		time.Sleep(r.randomMilliseconds(300, 4000))
 		r.store.SetDown(false)
 	}},
 	{"store forgets", func(r *run) { r.store.Compact() }},
 	{"store cut", func(r *run) {
-		p := r.entry().store
-		p.cutFrom.Store(int32(1 + r.random(2)))
-		time.Sleep(r.ms(500, 4000))
-		p.cutFrom.Store(0)
+		p := r.randomEntry().store
+		p.blockedSide.Store(int32(1 + r.randomInt(2)))
+		time.Sleep(r.randomMilliseconds(500, 4000))
+		p.blockedSide.Store(0)
 	}},
-	{"worker reset", func(r *run) { r.worker().proxy.reset() }},
-	{"worker silent", func(r *run) { r.worker().proxy.silence() }},
+	{"worker reset", func(r *run) { r.randomWorker().proxy.reset() }},
+	{"worker silent", func(r *run) { r.randomWorker().proxy.silence() }},
 	{"worker one way", func(r *run) {
-		p := r.worker().proxy
-		p.cutFrom.Store(int32(1 + r.random(2)))
-		time.Sleep(r.ms(200, 2000))
-		p.cutFrom.Store(0)
+		p := r.randomWorker().proxy
+		p.blockedSide.Store(int32(1 + r.randomInt(2)))
+		time.Sleep(r.randomMilliseconds(200, 2000))
+		p.blockedSide.Store(0)
 	}},
 	{"worker slow link", func(r *run) {
-		p := r.worker().proxy
-		p.delay.Store(int64(r.ms(20, 200)))
-		time.Sleep(r.ms(500, 3000))
+		p := r.randomWorker().proxy
+		p.delay.Store(int64(r.randomMilliseconds(20, 200)))
+		time.Sleep(r.randomMilliseconds(500, 3000))
 		p.delay.Store(0)
 	}},
 	{"worker hangs", func(r *run) {
-		k := r.worker()
-		k.hang.Store(true)
-		time.Sleep(r.ms(500, 3000))
-		k.hang.Store(false)
+		k := r.randomWorker()
+		k.hanging.Store(true)
+		time.Sleep(r.randomMilliseconds(500, 3000))
+		k.hanging.Store(false)
 	}},
 	{"worker crashes", func(r *run) {
-		k := r.worker()
+		k := r.randomWorker()
 		k.proxy.refuse.Store(true)
 		k.proxy.reset()
-		key, _ := k.entry("ready")
-		time.Sleep(r.ms(300, 1500))
-		k.renew() // the address serves another incarnation before the store knows
+		key, _ := k.storeEntry("ready")
+		time.Sleep(r.randomMilliseconds(300, 1500))
+		k.newIncarnation() // the address serves the next incarnation before the store lists it
 		k.proxy.refuse.Store(false)
-		time.Sleep(r.ms(100, 800))
+		time.Sleep(r.randomMilliseconds(100, 800))
 		r.store.Delete(key)
-		r.store.Put(k.entry("ready"))
+		r.store.Put(k.storeEntry("ready"))
 	}},
 	{"worker leaves", func(r *run) {
-		k := r.worker()
-		r.store.Put(k.entry("draining"))
+		k := r.randomWorker()
+		r.store.Put(k.storeEntry("draining"))
 		k.mu.Lock()
-		k.leftAt = time.Now()
+		k.drainingSince = time.Now()
 		k.mu.Unlock()
-		time.Sleep(drainTime + r.ms(500, 1500))
-		if k.workedAfterLeaving(drainTime) && r.calmSince(k.leftAt.Add(-linkMemory)) {
-			r.violation("%s got new work %s after it was published as leaving", k.current(), drainTime)
+		time.Sleep(drainNoticeTime + r.randomMilliseconds(500, 1500))
+		if k.startedWhileDraining(drainNoticeTime) && r.faultFreeSince(k.drainingSince.Add(-faultAftermath)) {
+			r.violation("%s got a new request more than %s after it was published as draining", k.instanceID(), drainNoticeTime)
 		}
-		key, _ := k.entry("draining")
+		key, _ := k.storeEntry("draining")
 		r.store.Delete(key)
-		k.renew()
-		r.store.Put(k.entry("ready"))
+		k.newIncarnation()
+		r.store.Put(k.storeEntry("ready"))
 	}},
 	{"configuration", func(r *run) { r.publish() }},
-	{"key replaced", func(r *run) { r.rotate() }},
+	{"key replaced", func(r *run) { r.rotateKey() }},
 }
 
 const (
-	// drainTime is how long after its announcement a leaving worker may still
-	// get new work.
-	drainTime = 3 * time.Second
-	// linkMemory is how long after a failure its effects are not judged: the
-	// longest time in which a silent connection is noticed.
-	linkMemory = 4 * time.Second
+	// drainNoticeTime is how long a worker may still get new requests after it was
+	// published as draining.
+	drainNoticeTime = 3 * time.Second
+	// faultAftermath is how long the effects of a fault are tolerated after it has
+	// ended: the maximum time until a silent connection is detected.
+	faultAftermath = 4 * time.Second
 )
 
-// harmless are faults that change nothing for requests in progress.
+// harmless are the faults that must not affect requests in progress.
 var harmless = map[string]bool{"hang up": true, "configuration": true, "terminate": true, "worker leaves": true, "key replaced": true}
 
-// phaseTime is the length of each phase of a run: planned work alone, in which
-// nothing may be cut or late, by turns with all kinds of faults.
-const phaseTime = 5 * time.Second
+// phaseDuration is the duration of each phase of a run. Phases with harmless
+// faults only, in which no request may be cut or late, alternate with phases
+// with all faults.
+const phaseDuration = 5 * time.Second
 
-// draw draws a fault of the present phase.
-func (r *run) draw() fault {
-	planned := int(time.Since(r.playing)/phaseTime)%2 == 0
+// pickFault picks a random fault of the current phase.
+func (r *run) pickFault() fault {
+	harmlessOnly := int(time.Since(r.faultsBegan)/phaseDuration)%2 == 0
 	for {
-		f := faults[r.random(len(faults))]
-		if !planned || harmless[f.name] {
+		f := faults[r.randomInt(len(faults))]
+		if !harmlessOnly || harmless[f.name] {
 			return f
 		}
 	}
 }
 
-// injure brings faults about, some of them at the same time, until ctx ends.
-func (r *run) injure(ctx context.Context) {
+// injectFaults injects faults, some of them concurrently, until ctx ends.
+func (r *run) injectFaults(ctx context.Context) {
 	for ctx.Err() == nil {
-		f := r.draw()
+		f := r.pickFault()
 		r.faults.Add(1)
 		r.wg.Go(func() {
 			if !harmless[f.name] {
-				r.busy.Add(1)
+				r.activeFaults.Add(1)
 				defer func() {
-					r.lastFault.Store(time.Now().UnixNano())
-					r.busy.Add(-1)
+					r.lastFaultEnd.Store(time.Now().UnixNano())
+					r.activeFaults.Add(-1)
 				}()
 			}
 			r.note("%s", f.name)
 			f.do(r)
 		})
-		time.Sleep(r.ms(100, 900))
+		time.Sleep(r.randomMilliseconds(100, 900))
 	}
 }
 
-// replace ends the process and starts another, unless that is under way.
+// replace restarts the process unless a restart is in progress.
 func (e *entry) replace(s syscall.Signal, pause time.Duration) {
 	if !e.replacing.CompareAndSwap(false, true) {
 		return
 	}
 	defer e.replacing.Store(false)
-	e.stop(s, pause)
+	e.restart(s, pause)
 }
--- a/soak/processes/keys.go
+++ b/soak/processes/keys.go
@@ -10,16 +10,17 @@
 	"ebonypulley/standin"
 )
 
-// Workspaces of a run. The school has no limit and a key that is replaced again and again
-// beside one that stays; the office has a limit, of which its callers ask a multiple.
+// The workspaces of a run. The school has no limit, one permanent key, and one
+// key that is replaced repeatedly. The office has a limit, which its callers
+// exceed several times over.
 const (
 	school, schoolKey = "school", "key-of-the-school"
 	office, officeKey = "office", "key-of-the-office"
 	unknownKey        = "key-that-nobody-gave-out"
 )
 
-// The office's limit in tokens, what is tolerated beyond it in any window, and what requests
-// count as.
+// The office's limit, what is tolerated beyond it in any window, and the cost of
+// requests, all in tokens; quotaOverrun is a fraction.
 const (
 	officeRate, officeBurst = 3000, 3000
 	quotaWindow             = 8 * time.Second
@@ -30,67 +31,68 @@
 	plainTokens             = 200
 )
 
-// statusNoKey answers a caller without a published key.
-const statusNoKey = http.StatusUnauthorized
+// statusInvalidKey is the status for a caller whose key is not published.
+const statusInvalidKey = http.StatusUnauthorized
 
-// forceTime is how long a configuration may take to be in force.
-const forceTime = 5 * time.Second
+// configTimeout is how long entries may take to apply a published configuration.
+const configTimeout = 5 * time.Second
 
-// replacedKey is a key that was taken away, and when.
-type replacedKey struct {
-	key string
-	at  time.Time
+// revokedKey is a revoked key and the time of its revocation.
+type revokedKey struct {
+	key       string
+	revokedAt time.Time
 }
 
-// identity is whose request a caller sends.
+// identity is the key that a caller sends, and whose it is.
 type identity struct {
 	key string
-	// workspace is the one that has the key, empty for a key that nobody has.
+	// workspace is the owner of the key, empty for an unknown key.
 	workspace string
-	// stays: the key was never taken away and never will be.
-	stays bool
-	// revoked is when the key was taken away, if it was.
-	revoked time.Time
+	// permanent keys are never revoked.
+	permanent bool
+	// revokedAt is when the key was revoked, zero if it is valid.
+	revokedAt time.Time
 }
 
-// identity draws one.
-func (r *run) identity() identity {
-	draw := r.random(100)
+// pickIdentity picks a random identity.
+func (r *run) pickIdentity() identity {
+	draw := r.randomInt(100)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case draw < 5:
 		return identity{key: unknownKey}
-	case draw < 15 && len(r.replaced) > 0:
-		old := r.replaced[len(r.replaced)-1]
-		return identity{key: old.key, workspace: school, revoked: old.at}
+	case draw < 15 && len(r.revokedKeys) > 0:
+		old := r.revokedKeys[len(r.revokedKeys)-1]
+		return identity{key: old.key, workspace: school, revokedAt: old.revokedAt}
 	case draw < 25:
 		return identity{key: r.rotatingKey(), workspace: school}
 	case draw < 45:
-		return identity{key: officeKey, workspace: office, stays: true}
+		return identity{key: officeKey, workspace: office, permanent: true}
 	}
-	return identity{key: schoolKey, workspace: school, stays: true}
+	return identity{key: schoolKey, workspace: school, permanent: true}
 }
 
-// attemptID names an attempt so that a worker can tell whose it is.
-func attemptID(n string, who identity) string { return n + "-" + who.workspace }
+// attemptID returns an attempt ID that includes the workspace, so that a worker
+// can check that the attempt reached it as one of that workspace.
+func attemptID(n string, caller identity) string { return n + "-" + caller.workspace }
 
-// workspaceOf is the workspace that an attempt belongs to.
+// workspaceOf returns the workspace in an attempt ID.
 func workspaceOf(id string) string { return id[strings.LastIndexByte(id, '-')+1:] }
 
-// rotatingKey is the school's second key; r.mu is held.
-func (r *run) rotatingKey() string { return fmt.Sprintf("key-%d-of-the-school", len(r.replaced)) }
+// rotatingKey returns the school's current second key. The caller holds r.mu.
+func (r *run) rotatingKey() string { return fmt.Sprintf("key-%d-of-the-school", len(r.revokedKeys)) }
 
-// rotate replaces the school's second key.
-func (r *run) rotate() {
+// rotateKey revokes the school's second key and publishes a new one.
+func (r *run) rotateKey() {
 	r.mu.Lock()
-	r.replaced = append(r.replaced, replacedKey{r.rotatingKey(), time.Now()})
+	r.revokedKeys = append(r.revokedKeys, revokedKey{r.rotatingKey(), time.Now()})
 	r.mu.Unlock()
 	r.publish()
 }
 
-// workspaces are published with each configuration.
-func (r *run) workspaces() []standin.WorkspaceEntry {
+// workspaceEntries returns the workspaces of the next configuration.
+func (r *run) workspaceEntries() []standin.WorkspaceEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	limited := standin.NewWorkspaceEntry(office, plainTokens, officeKey)
@@ -98,30 +100,31 @@
 	return []standin.WorkspaceEntry{standin.NewWorkspaceEntry(school, plainTokens, schoolKey, r.rotatingKey()), limited}
 }
 
-// checkIdentity judges what became of a request by its key.
-func (r *run) checkIdentity(e *entry, id string, who identity, status int, began time.Time, life int) {
-	ran := r.book.ran(id) > 0
+// checkIdentity checks that a request was treated as its key requires.
+func (r *run) checkIdentity(e *entry, id string, caller identity, status int, began time.Time, process int) {
+	ran := r.executions.count(id) > 0
 	switch {
-	case who.workspace == "" && ran:
-		r.violation("request %s ran with a key that nobody gave out", id)
-	case who.stays && status == statusNoKey:
+	case caller.workspace == "" && ran:
+		r.violation("request %s ran with an unknown key", id)
+	case caller.permanent && status == statusInvalidKey:
 		r.violation("%s refused a valid key of request %s", e.name, id)
-	case ran && !who.revoked.IsZero() && began.Sub(who.revoked) > forceTime && e.soundSince(who.revoked, life) && r.calmSince(who.revoked.Add(-linkMemory)):
-		r.violation("%s served request %s with a key that was taken away %s before", e.name, id, began.Sub(who.revoked))
+	case ran && !caller.revokedAt.IsZero() && began.Sub(caller.revokedAt) > configTimeout && e.undisturbedSince(caller.revokedAt, process) && r.faultFreeSince(caller.revokedAt.Add(-faultAftermath)):
+		r.violation("%s served request %s with a key that was revoked %s before", e.name, id, began.Sub(caller.revokedAt))
 	}
 }
 
-// used is what a request of a workspace counted as when a worker began to run it.
-type used struct {
+// usage is the cost of a request, and when a worker began to run it.
+type usage struct {
 	at     time.Time
 	tokens int
 }
 
-// checkQuota judges, after the run, what workers ran of the office's.
+// checkQuota checks, after the run, that the requests of the office that workers
+// ran stayed within its limit and the tolerance in every window.
 func (r *run) checkQuota() {
 	const tolerated = (officeRate*float64(quotaWindow/time.Second)+officeBurst)*(1+quotaOverrun) + quotaSlack
-	list := r.book.used(office)
-	slices.SortFunc(list, func(a, b used) int { return a.at.Compare(b.at) })
+	list := r.executions.usageOf(office)
+	slices.SortFunc(list, func(a, b usage) int { return a.at.Compare(b.at) })
 	sum, first := 0, 0
 	for _, u := range list {
 		sum += u.tokens
--- a/soak/processes/proxy.go
+++ b/soak/processes/proxy.go
@@ -9,23 +9,25 @@
 	"time"
 )
 
-// proxy passes connections on to a target on loopback, as badly as it is told.
+// proxy forwards TCP connections to a target on loopback and injects network
+// faults into them.
 type proxy struct {
 	ln     net.Listener
 	target string
 	// refuse closes each new connection at once.
 	refuse atomic.Bool
-	// delay holds up each piece of data.
+	// delay is added to each chunk of data, in nanoseconds.
 	delay atomic.Int64
-	// cutFrom holds back what comes from one side, as a network that loses
-	// every packet in one direction: it arrives once the cut is over.
-	cutFrom atomic.Int32
+	// blockedSide is the side whose data is held back, 0 for none, as in a network
+	// that loses every packet in one direction. The data arrives once the block is
+	// lifted.
+	blockedSide atomic.Int32
 
 	mu    sync.Mutex
 	links map[*link]bool
 }
 
-// link is one connection through a proxy.
+// link is one proxied connection.
 type link struct {
 	client, server net.Conn
 	silent         atomic.Bool
@@ -36,7 +38,7 @@
 	fromServer = 2
 )
 
-// newProxy listens on addr, which may have port 0.
+// newProxy starts a proxy that listens on addr, whose port may be 0.
 func newProxy(addr, target string) (*proxy, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -82,10 +84,10 @@
 	p.mu.Unlock()
 }
 
-// cutPause is the pause between two looks whether a cut is over.
-const cutPause = 10 * time.Millisecond
+// blockedPoll is the interval between checks whether a block has been lifted.
+const blockedPoll = 10 * time.Millisecond
 
-// pump copies one direction until it ends, and ends both then.
+// pump copies one direction until it ends, and then closes both connections.
 func (p *proxy) pump(l *link, from, to net.Conn, side int32) {
 	defer func() { _ = from.Close() }()
 	defer func() { _ = to.Close() }()
@@ -93,8 +95,8 @@
 	for {
 		n, err := from.Read(buf)
 		time.Sleep(time.Duration(p.delay.Load()))
-		for p.cutFrom.Load() == side && !l.silent.Load() {
-			time.Sleep(cutPause)
+		for p.blockedSide.Load() == side && !l.silent.Load() {
+			time.Sleep(blockedPoll)
 		}
 		if n > 0 && !l.silent.Load() {
 			if _, err := to.Write(buf[:n]); err != nil {
@@ -103,14 +105,14 @@
 		}
 		if err != nil {
 			if err == io.EOF && l.silent.Load() {
-				time.Sleep(time.Second) // nobody hears of the end either
+				time.Sleep(time.Second) // a silent link does not pass on the end at once either
 			}
 			return
 		}
 	}
 }
 
-// each calls fn for every connection that stands.
+// each calls fn for every open connection.
 func (p *proxy) each(fn func(*link)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,7 +121,7 @@
 	}
 }
 
-// reset ends all connections with a reset.
+// reset closes all connections with a TCP reset.
 func (p *proxy) reset() {
 	p.each(func(l *link) {
 		reset(l.client)
@@ -127,9 +129,10 @@
 	})
 }
 
-// silence makes all connections that stand silent for good; new ones work.
+// silence makes all open connections silent for good; new ones work.
 func (p *proxy) silence() { p.each(func(l *link) { l.silent.Store(true) }) }
 
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tc, ok := c.(*net.TCPConn); ok {
 		_ = tc.SetLinger(0)
--- a/soak/processes/run.go
+++ b/soak/processes/run.go
@@ -1,10 +1,10 @@
-// Package processes is a soak of the real programs: entries of the users'
-// platform as separate processes on loopback, before stand-ins of the store and
-// of workers, with faults from outside. Signals kill, pause, stop and reload
-// the processes; proxies reset, silence, delay and cut connections; the store
-// goes away and forgets; workers crash, hang and leave. Faults come at random
-// by a seed and overlap. What must always hold is judged by what callers and
-// workers see.
+// Package processes is a soak test of the real program: entries of the users'
+// platform run as separate processes on loopback, with stand-ins for the store
+// and the workers, and with faults injected from outside. Signals kill, pause,
+// stop and reload the processes; proxies reset, silence, delay and cut
+// connections; the store goes down and forgets its history; workers crash, hang
+// and drain. Faults are random, determined by a seed, and overlap. The invariants
+// are checked by what callers and workers observe.
 package processes
 
 import (
@@ -23,61 +23,63 @@
 	"ebonypulley/standin"
 )
 
-// Settings of a run.
+// Settings are the settings of a run.
 type Settings struct {
 	// Program is the path of the program to run.
 	Program string
 	Seed    uint64
 	Entries int
-	// For is how long faults are brought about.
+	// For is how long faults are injected.
 	For time.Duration
 }
 
-// Report is what a run did and found.
+// Report is the result of a run.
 type Report struct {
 	Requests, Answered, Refused, Other, Cut int64
 	Faults                                  int64
-	// Violations are what did not hold, Dir has the logs of the processes.
+	// Violations are the invariants violated. Dir holds the logs of the processes;
+	// it is removed if there are no violations.
 	Violations []string
 	Dir        string
 }
 
 type run struct {
-	set       Settings
-	dir       string
-	store     *standin.Store
-	storeAddr string
-	entries   []*entry
-	workers   []*worker
-	book      *book
-	wg        sync.WaitGroup
-	faults    atomic.Int64
-	// busy counts the faults under way, lastFault is when one last ended.
-	busy      atomic.Int64
-	lastFault atomic.Int64
-	version   atomic.Int64
+	set        Settings
+	dir        string
+	store      *standin.Store
+	storeAddr  string
+	entries    []*entry
+	workers    []*worker
+	executions *executionLog
+	wg         sync.WaitGroup
+	faults     atomic.Int64
+	// activeFaults is the number of faults in progress, without the harmless ones;
+	// lastFaultEnd is when the last of them ended, in nanoseconds of Unix time.
+	activeFaults atomic.Int64
+	lastFaultEnd atomic.Int64
+	version      atomic.Int64
 
 	mu         sync.Mutex
 	rnd        *rand.Rand
 	report     Report
 	violations []string
-	// replaced are the keys that were taken away, the newest last.
-	replaced []replacedKey
-	// promises are the attempts that a caller was told did not run.
-	promises []string
-	// once are the attempts that may run at most once.
-	once    []string
-	began   time.Time
-	playing time.Time // when faults began
-	history *os.File
+	// revokedKeys are the revoked keys, the most recent last.
+	revokedKeys []revokedKey
+	// notRun are the attempts that were reported to a caller as not run.
+	notRun []string
+	// atMostOnce are the attempts that may run at most once.
+	atMostOnce  []string
+	began       time.Time
+	faultsBegan time.Time // when the first fault was injected
+	history     *os.File
 }
 
-// settleTime is how long the fleet has to come back after the last fault.
-const settleTime = 5 * time.Second
+// recoveryTime is how long the fleet may take to recover after the last fault.
+const recoveryTime = 5 * time.Second
 
-// Run plays one seed.
+// Run runs one seed.
 func Run(ctx context.Context, set Settings) (Report, error) {
-	r := &run{set: set, store: standin.NewStore(), book: newBook(), began: time.Now(), rnd: rand.New(rand.NewPCG(set.Seed, 0))}
+	r := &run{set: set, store: standin.NewStore(), executions: newExecutionLog(), began: time.Now(), rnd: rand.New(rand.NewPCG(set.Seed, 0))}
 	var err error
 	if r.dir, err = os.MkdirTemp("", "soak-processes-"); err != nil {
 		return Report{}, err
@@ -86,51 +88,51 @@
 		return Report{}, err
 	}
 	defer func() { _ = r.history.Close() }()
-	if err := r.build(); err != nil {
+	if err := r.startFleet(); err != nil {
 		return Report{}, err
 	}
 	defer r.tearDown()
-	time.Sleep(settleTime / 2)
-	playing, stop := context.WithTimeout(ctx, set.For)
+	time.Sleep(recoveryTime / 2)
+	faultCtx, stop := context.WithTimeout(ctx, set.For)
 	defer stop()
-	calling, hangUp := context.WithCancel(ctx)
-	defer hangUp()
-	r.callers(calling)
-	r.playing = time.Now()
-	r.injure(playing)
-	for r.injured() && ctx.Err() == nil {
+	callerCtx, stopCallers := context.WithCancel(ctx)
+	defer stopCallers()
+	r.startCallers(callerCtx)
+	r.faultsBegan = time.Now()
+	r.injectFaults(faultCtx)
+	for r.disturbed() && ctx.Err() == nil {
 		time.Sleep(100 * time.Millisecond)
 	}
-	time.Sleep(settleTime)
-	r.checkRecovered(calling)
-	hangUp()
+	time.Sleep(recoveryTime)
+	r.checkRecovered(callerCtx)
+	stopCallers()
 	r.wg.Wait()
-	r.checkPromises()
+	r.checkExecutions()
 	r.checkQuota()
 	r.report.Violations, r.report.Dir, r.report.Faults = r.violations, r.dir, r.faults.Load()
 	if len(r.violations) == 0 {
-		_ = os.RemoveAll(r.dir) // left-over logs of a good run do no harm
+		_ = os.RemoveAll(r.dir) // a failure only leaves logs behind
 	}
 	return r.report, nil
 }
 
-// build starts stand-ins and entries.
-func (r *run) build() error {
+// startFleet starts the stand-ins and the entries.
+func (r *run) startFleet() error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	r.storeAddr = ln.Addr().String()
-	go func() { _ = http.Serve(ln, r.store.Handler()) }() // ends with the program
+	go func() { _ = http.Serve(ln, r.store.Handler()) }() // runs until the program exits
 	for _, w := range []struct{ service, stage string }{
 		{"app", ""}, {"app", ""}, {"app", ""}, {"llm", "prefill"}, {"llm", "prefill"}, {"llm", "decode"}, {"llm", "decode"}, {"llm", "decode"},
 	} {
-		k, err := newWorker(w.service, w.stage, r.book, r.violation)
+		k, err := newWorker(w.service, w.stage, r.executions, r.violation)
 		if err != nil {
 			return err
 		}
 		r.workers = append(r.workers, k)
-		r.store.Put(k.entry("ready"))
+		r.store.Put(k.storeEntry("ready"))
 	}
 	r.publish()
 	return r.startEntries()
@@ -156,7 +158,8 @@
 	return nil
 }
 
-// publish writes the next configuration: each adds a route and drops none.
+// publish writes the next configuration to the store. Each one adds a route and
+// removes none.
 func (r *run) publish() {
 	v := r.version.Add(1)
 	route := func(path, kind, service string, resumable bool) map[string]any {
@@ -175,17 +178,17 @@
 	r.store.Put("op/config", map[string]any{"version": 10 * v, "routes": routes, "services": []any{
 		map[string]any{"name": "app"},
 		map[string]any{"name": "llm", "engine": map[string]any{"slots": 64, "kv_capacity": 60000, "kv_hold_s": 0.5, "stride": 1}},
-	}, "tenants": r.workspaces()})
+	}, "tenants": r.workspaceEntries()})
 }
 
 func (r *run) tearDown() {
 	for _, e := range r.entries {
 		e.mu.Lock()
-		e.asked = true
+		e.exitExpected = true
 		e.mu.Unlock()
 		e.signal(syscall.SIGCONT)
 		e.signal(syscall.SIGKILL)
-		<-e.ends
+		<-e.exited
 		_ = e.log.Close()
 		_ = e.store.ln.Close()
 	}
@@ -195,43 +198,46 @@
 	}
 }
 
-// injured reports whether a fault or a replacement is under way.
-func (r *run) injured() bool {
-	return r.busy.Load() > 0 || slices.ContainsFunc(r.entries, func(e *entry) bool { return e.replacing.Load() })
+// disturbed reports whether a fault or the restart of an entry is in progress.
+func (r *run) disturbed() bool {
+	return r.activeFaults.Load() > 0 || slices.ContainsFunc(r.entries, func(e *entry) bool { return e.replacing.Load() })
 }
 
-// calmSince reports whether no fault that harms requests was under way.
-func (r *run) calmSince(at time.Time) bool {
-	return r.busy.Load() == 0 && r.lastFault.Load() < at.UnixNano()
+// faultFreeSince reports whether no fault, other than harmless ones, has been in
+// progress since at.
+func (r *run) faultFreeSince(at time.Time) bool {
+	return r.activeFaults.Load() == 0 && r.lastFaultEnd.Load() < at.UnixNano()
 }
 
-func (r *run) entry() *entry   { return r.entries[r.random(len(r.entries))] }
-func (r *run) worker() *worker { return r.workers[r.random(len(r.workers))] }
+func (r *run) randomEntry() *entry   { return r.entries[r.randomInt(len(r.entries))] }
+func (r *run) randomWorker() *worker { return r.workers[r.randomInt(len(r.workers))] }
 
-func (r *run) random(n int) int {
+func (r *run) randomInt(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rnd.IntN(n)
 }
 
-func (r *run) float() float64 {
+func (r *run) randomFloat() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rnd.Float64()
 }
 
-// ms draws a time between two numbers of milliseconds.
-func (r *run) ms(from, to int) time.Duration {
-	return time.Duration(from+r.random(to-from)) * time.Millisecond
+// randomMilliseconds returns a random duration from one number of milliseconds
+// up to another.
+func (r *run) randomMilliseconds(from, to int) time.Duration {
+	return time.Duration(from+r.randomInt(to-from)) * time.Millisecond
 }
 
-// note writes a line of the run's history.
+// note adds a line to the run's history.
 func (r *run) note(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, _ = fmt.Fprintf(r.history, "%8.3f %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
+// violation records a violation of an invariant.
 func (r *run) violation(format string, args ...any) {
 	r.note("VIOLATION "+format, args...)
 	r.mu.Lock()
--- a/soak/processes/worker.go
+++ b/soak/processes/worker.go
@@ -13,105 +13,107 @@
 	"ebonypulley/standin"
 )
 
-// streamEvents is the number of events of a whole generation, eventPause the
-// time before each, callTime that of a plain call.
+// streamEvents is the number of events of a complete generation, eventGap the
+// time before each of them, callTime the duration of a plain call.
 const (
 	streamEvents = 40
-	eventPause   = 25 * time.Millisecond
+	eventGap     = 25 * time.Millisecond
 	callTime     = 20 * time.Millisecond
 )
 
-// book notes what workers ran, by the callers' attempts.
-type book struct {
+// executionLog records what workers ran, by the ID of the caller's attempt.
+type executionLog struct {
 	mu   sync.Mutex
 	runs map[string]int
-	// busy are the attempts that a worker works on.
-	busy map[string]bool
-	// use is what ran of each workspace, each attempt once.
-	use map[string][]used
+	// inProgress are the attempts that a worker is running.
+	inProgress map[string]bool
+	// usage lists the cost of the attempts of each workspace that ran, each
+	// attempt once.
+	usage map[string][]usage
 }
 
-func newBook() *book {
-	return &book{runs: make(map[string]int), busy: make(map[string]bool), use: make(map[string][]used)}
+func newExecutionLog() *executionLog {
+	return &executionLog{runs: make(map[string]int), inProgress: make(map[string]bool), usage: make(map[string][]usage)}
 }
 
-func (b *book) begin(id, workspace string, tokens int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.runs[id] == 0 {
-		b.use[workspace] = append(b.use[workspace], used{time.Now(), tokens})
+func (l *executionLog) begin(id, workspace string, tokens int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.runs[id] == 0 {
+		l.usage[workspace] = append(l.usage[workspace], usage{time.Now(), tokens})
 	}
-	b.runs[id]++
-	b.busy[id] = true
+	l.runs[id]++
+	l.inProgress[id] = true
 }
 
-func (b *book) used(workspace string) []used {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return slices.Clone(b.use[workspace])
+func (l *executionLog) usageOf(workspace string) []usage {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Clone(l.usage[workspace])
 }
 
-func (b *book) end(id string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.busy, id)
+func (l *executionLog) end(id string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.inProgress, id)
 }
 
-func (b *book) ran(id string) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.runs[id]
+func (l *executionLog) count(id string) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.runs[id]
 }
 
-func (b *book) working(id string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.busy[id]
+func (l *executionLog) isRunning(id string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.inProgress[id]
 }
 
-// worker is one address at which incarnations of a worker follow each other.
+// worker simulates a worker at one address. It has one incarnation after
+// another, each with its own instance ID.
 type worker struct {
 	service, stage string
 	proxy          *proxy
 	server         *http.Server
-	book           *book
-	hang           atomic.Bool
-	// wrong is told what must not reach a worker.
-	wrong func(format string, args ...any)
-
-	mu       sync.Mutex
-	id       string
-	born     int
-	leftAt   time.Time // when it was published as leaving
-	lastWork time.Time // when it last began a client's request
+	executions     *executionLog
+	hanging        atomic.Bool
+	// onViolation reports a request that must not reach a worker.
+	onViolation func(format string, args ...any)
+
+	mu            sync.Mutex
+	id            string
+	incarnations  int
+	drainingSince time.Time // when it was published as draining, zero if it was not
+	lastStart     time.Time // when it last began to run a request
 }
 
-func newWorker(service, stage string, b *book, wrong func(string, ...any)) (*worker, error) {
+func newWorker(service, stage string, executions *executionLog, onViolation func(string, ...any)) (*worker, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	k := &worker{service: service, stage: stage, book: b, wrong: wrong}
+	k := &worker{service: service, stage: stage, executions: executions, onViolation: onViolation}
 	k.server = &http.Server{Handler: k, ReadHeaderTimeout: time.Minute}
-	go func() { _ = k.server.Serve(ln) }() // ends with the run
+	go func() { _ = k.server.Serve(ln) }() // runs until tearDown closes the server
 	if k.proxy, err = newProxy("127.0.0.1:0", ln.Addr().String()); err != nil {
 		return nil, err
 	}
-	k.renew()
+	k.newIncarnation()
 	return k, nil
 }
 
-// renew makes the next incarnation.
-func (k *worker) renew() {
+// newIncarnation replaces the worker by its next incarnation.
+func (k *worker) newIncarnation() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.born++
-	k.id = fmt.Sprintf("i-%s%s-%s-%d", k.service, k.stage, k.proxy.addr(), k.born)
-	k.leftAt = time.Time{}
+	k.incarnations++
+	k.id = fmt.Sprintf("i-%s%s-%s-%d", k.service, k.stage, k.proxy.addr(), k.incarnations)
+	k.drainingSince = time.Time{}
 }
 
-// entry is what the store publishes of the worker.
-func (k *worker) entry(state string) (key string, value any) {
+// storeEntry returns the worker's entry in the store.
+func (k *worker) storeEntry(state string) (key string, value any) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	e := standin.NewWorkerEntry(k.service, k.proxy.addr(), k.stage)
@@ -119,7 +121,7 @@
 	return "servers/" + k.id, e
 }
 
-func (k *worker) current() string {
+func (k *worker) instanceID() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.id
@@ -132,32 +134,32 @@
 	switch {
 	case err != nil:
 		panic(http.ErrAbortHandler)
-	case c.Expected != k.current():
+	case c.Expected != k.instanceID():
 		standin.AnswerHead(w.Header(), c.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	case standin.AnswerOwn(w, r):
 	case c.Key != "" || c.Workspace != workspaceOf(c.ID):
-		k.wrong("request %s reached %s as one of %q, with key %q", c.ID, k.current(), c.Workspace, c.Key)
-	case k.hang.Load():
+		k.onViolation("request %s reached %s as one of %q, with key %q", c.ID, k.instanceID(), c.Workspace, c.Key)
+	case k.hanging.Load():
 		<-r.Context().Done()
 	case c.Prefill:
 		standin.AnswerHead(w.Header(), c.ID)
 		standin.AnswerPrefill(w)
 	default:
-		k.run(w, r, c)
+		k.serveRequest(w, r, c)
 	}
 }
 
-func (k *worker) run(w http.ResponseWriter, r *http.Request, c standin.WorkerCall) {
+func (k *worker) serveRequest(w http.ResponseWriter, r *http.Request, c standin.WorkerCall) {
 	id := c.ID
 	tokens := plainTokens
 	if k.stage != "" {
 		tokens = promptTokens + outputTokens
 	}
-	k.book.begin(id, c.Workspace, tokens)
-	defer k.book.end(id)
+	k.executions.begin(id, c.Workspace, tokens)
+	defer k.executions.end(id)
 	k.mu.Lock()
-	k.lastWork = time.Now()
+	k.lastStart = time.Now()
 	k.mu.Unlock()
 	standin.AnswerHead(w.Header(), id)
 	if k.stage == "" {
@@ -171,17 +173,17 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-time.After(eventPause):
+		case <-time.After(eventGap):
 		}
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s %d\n\n", i, id, i)
 		_ = ctl.Flush()
 	}
 }
 
-// workedAfterLeaving reports whether work began more than grace after the
-// worker was published as leaving.
-func (k *worker) workedAfterLeaving(grace time.Duration) bool {
+// startedWhileDraining reports whether a request began more than grace after the
+// worker was published as draining.
+func (k *worker) startedWhileDraining(grace time.Duration) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return !k.leftAt.IsZero() && k.lastWork.After(k.leftAt.Add(grace))
+	return !k.drainingSince.IsZero() && k.lastStart.After(k.drainingSince.Add(grace))
 }
