--- a/soak/processes/keys.go
+++ b/soak/processes/keys.go
@@ -34,8 +34,8 @@
 // statusInvalidKey is the status for a caller whose key is not published.
 const statusInvalidKey = http.StatusUnauthorized
 
-// configTimeout is how long entries may take to apply a published configuration.
-const configTimeout = 5 * time.Second
+// applyTimeout is how long entries may take to apply a published configuration.
+const applyTimeout = 5 * time.Second
 
 // revokedKey is a revoked key and the time of its revocation.
 type revokedKey struct {
@@ -108,7 +108,7 @@
 		r.violation("request %s ran with an unknown key", id)
 	case caller.permanent && status == statusInvalidKey:
 		r.violation("%s refused a valid key of request %s", e.name, id)
-	case ran && !caller.revokedAt.IsZero() && began.Sub(caller.revokedAt) > configTimeout && e.undisturbedSince(caller.revokedAt, process) && r.faultFreeSince(caller.revokedAt.Add(-faultAftermath)):
+	case ran && !caller.revokedAt.IsZero() && began.Sub(caller.revokedAt) > applyTimeout && e.undisturbedSince(caller.revokedAt, process) && r.faultFreeSince(caller.revokedAt.Add(-faultAftermath)):
 		r.violation("%s served request %s with a key that was revoked %s before", e.name, id, began.Sub(caller.revokedAt))
 	}
 }
--- a/soak/processes/run.go
+++ b/soak/processes/run.go
@@ -1,6 +1,6 @@
 // Package processes is a soak test of the real program: entries of the users'
-// platform run as separate processes on loopback, with stand-ins for the store
-// and the workers, and with faults injected from outside. Signals kill, pause,
+// platform run as separate processes on loopback, with a simulated store and
+// simulated workers, and with faults injected from outside. Signals kill, pause,
 // stop and reload the processes; proxies reset, silence, delay and cut
 // connections; the store goes down and forgets its history; workers crash, hang
 // and drain. Faults are random, determined by a seed, and overlap. The invariants
@@ -116,7 +116,7 @@
 	return r.report, nil
 }
 
-// startFleet starts the stand-ins and the entries.
+// startFleet starts the simulated store and workers, and the entries.
 func (r *run) startFleet() error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
