--- a/cmd/ebonypulley/daemon.go
+++ b/cmd/ebonypulley/daemon.go
@@ -43,9 +43,9 @@
 }
 
 // signalChannels receive the signals that a daemon handles. They are registered
-// before the daemon reads its settings: a signal without a handler ends the
-// process at once, which cuts off all requests in progress, or ends an entry
-// during its start for good.
+// before the daemon reads its settings, because a signal without a handler ends
+// the process at once: all requests in progress would be cut off, or an entry
+// that is just starting would not come up.
 type signalChannels struct {
 	hangups, drains chan os.Signal
 }
