--- a/load/caller.go
+++ b/load/caller.go
@@ -25,16 +25,16 @@
 
 // Caller sends requests to entries and verifies the answers.
 type Caller struct {
-	HTTP *http.Client
+	Client *http.Client
 	// Balancer chooses the entry of each request.
 	Balancer *Balancer
 	// Model is the model service's model.
 	Model string
 	// Route is the plain service's route. Book and Look are the paths of its
 	// non-idempotent and its idempotent call.
-	Route string
-	Book  string
-	Look  string
+	Route             string
+	NonIdempotentPath string
+	IdempotentPath    string
 }
 
 // Kind is a kind of request.
@@ -44,10 +44,10 @@
 const (
 	// KindGeneration is a generation by the model service, streamed or not.
 	KindGeneration Kind = "draft"
-	// Booking is a non-idempotent call, with or without an Idempotency-Key.
-	Booking Kind = "booking"
-	// Lookup is an idempotent call.
-	Lookup Kind = "lookup"
+	// KindNonIdempotent is a non-idempotent call, with or without an Idempotency-Key.
+	KindNonIdempotent Kind = "booking"
+	// KindIdempotent is an idempotent call.
+	KindIdempotent Kind = "lookup"
 )
 
 // Result is the result of one request as its caller sees it.
@@ -57,16 +57,16 @@
 	Outcome entry.Outcome
 	// Cancelled reports that the caller disconnected on purpose.
 	Cancelled bool
-	// Broken reports that the answer was aborted: it visibly ended before it was
+	// Aborted reports that the answer was aborted: it visibly ended before it was
 	// complete.
-	Broken bool
+	Aborted bool
 	// Mismatch says how a complete answer differs from the expected one.
 	Mismatch string
 	Status   int
 	// Reason is the message of the error response or of the connection error.
 	Reason string
-	// Call is the ID by which the plain service counts the call.
-	Call string
+	// CallID is the ID by which the plain service counts the call.
+	CallID string
 	// TTFT is the time to the first event of a streamed answer, TBT the times
 	// between its events.
 	TTFT time.Duration
@@ -102,8 +102,8 @@
 	} `json:"error"`
 }
 
-// DraftSpec describes a generation.
-type DraftSpec struct {
+// GenerationSpec describes a generation.
+type GenerationSpec struct {
 	Key       string
 	Trial     bool
 	Prompt    string
@@ -114,8 +114,8 @@
 	CancelAfter int
 }
 
-// Draft sends a generation and verifies its answer.
-func (c *Caller) Draft(ctx context.Context, rnd *rand.Rand, d DraftSpec) Result {
+// Generate sends a generation and verifies its answer.
+func (c *Caller) Generate(ctx context.Context, rnd *rand.Rand, d GenerationSpec) Result {
 	res := Result{Kind: KindGeneration, Trial: d.Trial}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -146,7 +146,7 @@
 	} else {
 		text = res.readResponse(resp.Body)
 	}
-	if res.Cancelled || res.Broken {
+	if res.Cancelled || res.Aborted {
 		return res
 	}
 	res.Latency = time.Since(began)
@@ -165,7 +165,7 @@
 func (r *Result) readResponse(body io.Reader) string {
 	var a chatAnswer
 	if err := json.NewDecoder(body).Decode(&a); err != nil || len(a.Choices) != 1 {
-		r.Broken = true
+		r.Aborted = true
 		return ""
 	}
 	return a.Choices[0].Message.Content
@@ -204,7 +204,7 @@
 			return ""
 		}
 	}
-	r.Broken = true
+	r.Aborted = true
 	return ""
 }
 
@@ -224,11 +224,11 @@
 	if s.ID == "" {
 		s.ID = uuid.Must(uuid.NewV7()).String()
 	}
-	res := Result{Kind: s.Kind, Trial: s.Trial, Call: s.ID}
-	method, path := http.MethodGet, c.Look
+	res := Result{Kind: s.Kind, Trial: s.Trial, CallID: s.ID}
+	method, path := http.MethodGet, c.IdempotentPath
 	var body []byte
-	if s.Kind == Booking {
-		method, path, body = http.MethodPost, c.Book, []byte("{\"call\":\""+s.ID+"\"}")
+	if s.Kind == KindNonIdempotent {
+		method, path, body = http.MethodPost, c.NonIdempotentPath, []byte("{\"call\":\""+s.ID+"\"}")
 	}
 	began := time.Now()
 	resp, err := c.Balancer.send(rnd, func(base string) (*http.Response, error) {
@@ -243,11 +243,11 @@
 	text, err := io.ReadAll(resp.Body)
 	res.Latency = time.Since(began)
 	if err != nil {
-		res.Broken = true
+		res.Aborted = true
 		return res
 	}
 	switch {
-	case res.Outcome != entry.Answered:
+	case res.Outcome != entry.OutcomeAnswered:
 		res.Reason = errorMessage(text)
 	case resp.StatusCode == http.StatusOK:
 		res.Mismatch = checkCallAnswer(text, s.ID, string(body))
@@ -258,10 +258,10 @@
 // setConnectionError records that a request got no response. If it was sent, the caller can't
 // tell whether it ran, so that its outcome is unknown.
 func (r *Result) setConnectionError(err error) {
-	r.Outcome = entry.Unknown
+	r.Outcome = entry.OutcomeUnknown
 	r.Reason = "connection to the entry failed: " + err.Error()
 	if isDial(err) {
-		r.Outcome = entry.NotRun
+		r.Outcome = entry.OutcomeNotRun
 		r.Reason = "no entry accepts connections"
 	}
 }
@@ -301,7 +301,7 @@
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
 	req.Header.Set("Content-Type", "application/json")
-	return c.HTTP.Do(req)
+	return c.Client.Do(req)
 }
 
 // call sends one call. If its connection breaks, its outcome is unknown, so net/http must
@@ -315,9 +315,9 @@
 	req.Header.Set("Authorization", "Bearer "+s.Key)
 	req.Header.Set(standin.CallHeader, s.ID)
 	if s.IdempotencyKey != "" {
-		req.Header.Set(entry.HeaderKey, s.IdempotencyKey)
+		req.Header.Set(entry.HeaderIdempotencyKey, s.IdempotencyKey)
 	}
-	return c.HTTP.Do(req)
+	return c.Client.Do(req)
 }
 
 // errNoURLs is returned if the balancer has no entries.
--- a/load/mix.go
+++ b/load/mix.go
@@ -23,9 +23,9 @@
 	TrialKey string
 	// Rate is the mean number of requests a second.
 	Rate float64
-	// For is the time during which requests are sent.
-	For  time.Duration
-	Seed uint64
+	// Duration is the time during which requests are sent.
+	Duration time.Duration
+	Seed     uint64
 	// Progress, if set, is called about once a second.
 	Progress func(Summary)
 }
@@ -33,23 +33,23 @@
 // Summary counts the requests by their results.
 type Summary struct {
 	Requests  int
-	Whole     int
+	Complete  int
 	NotRun    int
 	Unknown   int
 	Cancelled int
-	Broken    int
+	Aborted   int
 	// Mismatches describe the complete answers that differ from the expected ones.
 	Mismatches []string
 	// Duplicates counts non-idempotent calls that ran more than once.
 	Duplicates int
 	// FalseNotRun counts calls that ran although the caller was told that they did not.
 	FalseNotRun int
-	// GoodPaid counts the paid streamed generations within both latency targets. Paid
+	// PaidOnTarget counts the paid streamed generations within both latency targets. Paid
 	// counts all paid streamed generations that were not cancelled, and also unstreamed
 	// ones that failed.
-	GoodPaid   int
-	Paid       int
-	Violations int64
+	PaidOnTarget int
+	Paid         int
+	Violations   int64
 	// Reasons counts the error responses and connection errors by kind, outcome and
 	// reason.
 	Reasons map[string]int
@@ -79,7 +79,7 @@
 	c := &collector{targetTTFT: t.TTFT, targetTBT: t.TBT, totals: Summary{Reasons: make(map[string]int)}}
 	var wg sync.WaitGroup
 	rnd := rand.New(rand.NewPCG(m.Seed, 1))
-	end := time.Now().Add(m.For)
+	end := time.Now().Add(m.Duration)
 	nextReport := time.Now().Add(time.Second)
 	for next := time.Now(); next.Before(end) && ctx.Err() == nil; next = next.Add(m.interarrivalTime(rnd)) {
 		time.Sleep(time.Until(next))
@@ -118,18 +118,18 @@
 	kind := rnd.Float64()
 	switch {
 	case kind < generationFraction:
-		c.add(m.Caller.Draft(ctx, rnd, newGenerationSpec(rnd, key, trial)))
+		c.add(m.Caller.Generate(ctx, rnd, newGenerationSpec(rnd, key, trial)))
 	case kind < generationFraction+nonIdempotentFraction:
 		m.sendNonIdempotent(ctx, c, rnd, key, trial)
 	default:
-		c.add(m.Caller.Call(ctx, rnd, CallSpec{Key: key, Trial: trial, Kind: Lookup}))
+		c.add(m.Caller.Call(ctx, rnd, CallSpec{Key: key, Trial: trial, Kind: KindIdempotent}))
 	}
 }
 
 // sendNonIdempotent sends a non-idempotent call. Some callers then repeat it with the same
 // Idempotency-Key, several times at once and through any entry, as impatient users do.
 func (m *Mix) sendNonIdempotent(ctx context.Context, c *collector, rnd *rand.Rand, key string, trial bool) {
-	spec := CallSpec{Key: key, Trial: trial, Kind: Booking, ID: uuid.Must(uuid.NewV7()).String()}
+	spec := CallSpec{Key: key, Trial: trial, Kind: KindNonIdempotent, ID: uuid.Must(uuid.NewV7()).String()}
 	if rnd.Float64() < keyFraction {
 		spec.IdempotencyKey = uuid.Must(uuid.NewV7()).String()
 	}
@@ -160,12 +160,12 @@
 
 // newGenerationSpec returns a random generation. Many of them share a prompt prefix, so that
 // prefix caches have an effect.
-func newGenerationSpec(rnd *rand.Rand, key string, trial bool) DraftSpec {
+func newGenerationSpec(rnd *rand.Rand, key string, trial bool) GenerationSpec {
 	prompt := strings.Repeat("Rules of form "+string(rune('A'+rnd.IntN(sharedPrefixes)))+" in full. ", maxWords/2)
 	for range minWords + rnd.IntN(maxWords-minWords) {
 		prompt += vocabulary[rnd.IntN(len(vocabulary))]
 	}
-	d := DraftSpec{
+	d := GenerationSpec{
 		Key:       key,
 		Trial:     trial,
 		Prompt:    prompt,
@@ -192,12 +192,12 @@
 	switch {
 	case r.Cancelled:
 		s.Cancelled++
-	case r.Broken:
-		s.Broken++
+	case r.Aborted:
+		s.Aborted++
 		s.Unknown++
-	case r.Outcome == entry.Answered:
-		s.Whole++
-	case r.Outcome == entry.NotRun:
+	case r.Outcome == entry.OutcomeAnswered:
+		s.Complete++
+	case r.Outcome == entry.OutcomeNotRun:
 		s.NotRun++
 	default:
 		s.Unknown++
@@ -209,11 +209,11 @@
 }
 
 func (c *collector) addGoodput(r Result) {
-	if r.Kind != KindGeneration || r.Trial || r.Cancelled || r.TTFT == 0 && !r.Broken && r.Outcome == entry.Answered {
+	if r.Kind != KindGeneration || r.Trial || r.Cancelled || r.TTFT == 0 && !r.Aborted && r.Outcome == entry.OutcomeAnswered {
 		return
 	}
 	c.totals.Paid++
-	if r.Broken || r.Outcome != entry.Answered || r.TTFT > c.targetTTFT {
+	if r.Aborted || r.Outcome != entry.OutcomeAnswered || r.TTFT > c.targetTTFT {
 		return
 	}
 	var total time.Duration
@@ -221,7 +221,7 @@
 		total += gap
 	}
 	if len(r.TBT) == 0 || total/time.Duration(len(r.TBT)) <= c.targetTBT {
-		c.totals.GoodPaid++
+		c.totals.PaidOnTarget++
 	}
 }
 
@@ -234,24 +234,24 @@
 	return s
 }
 
-// Judge compares the results with the number of times that the service ran each call, by call
+// CheckRuns compares the results with the number of times that the service ran each call, by call
 // ID, and adds the violations found to the summary.
-func Judge(s Summary, results []Result, runs map[string]int) Summary {
+func CheckRuns(s Summary, results []Result, runs map[string]int) Summary {
 	seen := make(map[string]bool)
 	for _, r := range results {
-		if r.Kind != Booking {
+		if r.Kind != KindNonIdempotent {
 			continue
 		}
-		n := runs[r.Call]
-		if !seen[r.Call] && n > 1 {
+		n := runs[r.CallID]
+		if !seen[r.CallID] && n > 1 {
 			s.Duplicates++
 		}
-		seen[r.Call] = true
-		if r.Outcome == entry.NotRun && n > 0 && !otherMayHaveRun(results, r) {
+		seen[r.CallID] = true
+		if r.Outcome == entry.OutcomeNotRun && n > 0 && !otherMayHaveRun(results, r) {
 			s.FalseNotRun++
 		}
-		if r.Outcome == entry.Answered && r.Status < 300 && n == 0 {
-			s.Mismatches = append(s.Mismatches, "booking "+r.Call+" was answered but never ran")
+		if r.Outcome == entry.OutcomeAnswered && r.Status < 300 && n == 0 {
+			s.Mismatches = append(s.Mismatches, "booking "+r.CallID+" was answered but never ran")
 		}
 	}
 	return s
@@ -261,7 +261,7 @@
 // have run. The run may then be that request's, and the answer that r did not run may be true.
 func otherMayHaveRun(results []Result, r Result) bool {
 	for _, other := range results {
-		if other.Call == r.Call && other.Outcome != entry.NotRun {
+		if other.CallID == r.CallID && other.Outcome != entry.OutcomeNotRun {
 			return true
 		}
 	}
--- a/membership/view.go
+++ b/membership/view.go
@@ -11,40 +11,40 @@
 	"ebonypulley/wire"
 )
 
-// Word is an agent's state as reported by itself. Within one incarnation Draining is never
+// State is an agent's state as reported by itself. Within one incarnation Draining is never
 // reset; a later incarnation replaces an earlier one.
-type Word struct {
+type State struct {
 	Incarnation wire.Incarnation
 	Draining    bool
 }
 
 // Merge returns the join (least upper bound) of two states. It is commutative, associative
 // and idempotent. Incarnations are UUIDv7, so they are ordered by start time.
-func Merge(a, b Word) Word {
+func Merge(a, b State) State {
 	switch c := bytes.Compare(a.Incarnation[:], b.Incarnation[:]); {
 	case c > 0:
 		return a
 	case c < 0:
 		return b
 	default:
-		return Word{Incarnation: a.Incarnation, Draining: a.Draining || b.Draining}
+		return State{Incarnation: a.Incarnation, Draining: a.Draining || b.Draining}
 	}
 }
 
 // View is the membership as seen by one process.
 type View struct {
 	mu      sync.RWMutex
-	states  map[string]Word
+	states  map[string]State
 	leaving map[string]bool
 }
 
 // NewView returns an empty view.
 func NewView() *View {
-	return &View{states: make(map[string]Word), leaving: make(map[string]bool)}
+	return &View{states: make(map[string]State), leaving: make(map[string]bool)}
 }
 
-// Hear merges a state of an endpoint, and reports whether that changes the view.
-func (v *View) Hear(endpoint string, w Word) bool {
+// Merge merges a state of an endpoint, and reports whether that changes the view.
+func (v *View) Merge(endpoint string, w State) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	old := v.states[endpoint]
@@ -53,8 +53,8 @@
 	return merged != old
 }
 
-// Word returns the merged state of an endpoint.
-func (v *View) Word(endpoint string) Word {
+// State returns the merged state of an endpoint.
+func (v *View) State(endpoint string) State {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.states[endpoint]
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -11,9 +11,9 @@
 	"ebonypulley/wire"
 )
 
-func randomWord() *rapid.Generator[membership.Word] {
-	return rapid.Custom(func(t *rapid.T) membership.Word {
-		return membership.Word{
+func randomWord() *rapid.Generator[membership.State] {
+	return rapid.Custom(func(t *rapid.T) membership.State {
+		return membership.State{
 			Incarnation: wire.Incarnation{rapid.Byte().Draw(t, "incarnation") % 4},
 			Draining:    rapid.Bool().Draw(t, "draining"),
 		}
@@ -36,9 +36,9 @@
 // last state of its predecessor, which was draining, arrives after the successor's hello.
 func TestLateStateOfFormerIncarnation(t *testing.T) {
 	v := membership.NewView()
-	v.Hear("e", membership.Word{Incarnation: wire.Incarnation{1}})
-	v.Hear("e", membership.Word{Incarnation: wire.Incarnation{2}})
-	assert.False(t, v.Hear("e", membership.Word{Incarnation: wire.Incarnation{1}, Draining: true}))
+	v.Merge("e", membership.State{Incarnation: wire.Incarnation{1}})
+	v.Merge("e", membership.State{Incarnation: wire.Incarnation{2}})
+	assert.False(t, v.Merge("e", membership.State{Incarnation: wire.Incarnation{1}, Draining: true}))
 	assert.True(t, v.Usable("e"))
 	v.SetLeaving([]string{"e"})
 	assert.False(t, v.Usable("e"))
--- a/parts/index.go
+++ b/parts/index.go
@@ -26,9 +26,9 @@
 // NewIndex returns an empty index.
 func NewIndex() *Index { return &Index{values: make(map[string]*indexedValue)} }
 
-// Manifest returns the manifest of a key's value at a revision, and indexes its parts in
+// Add returns the manifest of a key's value at a revision, and indexes its parts in
 // place of those of the key's former value.
-func (x *Index) Manifest(key string, at revision.Revision, value []byte) Manifest {
+func (x *Index) Add(key string, at revision.Revision, value []byte) Manifest {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	old := x.values[key]
--- a/parts/parts_test.go
+++ b/parts/parts_test.go
@@ -54,8 +54,8 @@
 	middle := len(after) / 2
 	after = append(after[:middle:middle], append([]byte("inserted"), after[middle:]...)...)
 	from, here := parts.NewIndex(), parts.NewIndex()
-	here.Manifest("config", revision.Revision{Count: 1}, before)
-	m := from.Manifest("config", revision.Revision{Count: 2}, after)
+	here.Add("config", revision.Revision{Count: 1}, before)
+	m := from.Add("config", revision.Revision{Count: 2}, after)
 	value, packed, answers := fetch(t, from, m, here)
 	assert.Equal(t, after, value)
 	assert.Less(t, packed, 16<<10)
@@ -67,7 +67,7 @@
 func TestWholeValueIsCompressed(t *testing.T) {
 	from := parts.NewIndex()
 	whole := routes(1, 4240)
-	value, packed, answers := fetch(t, from, from.Manifest("config", revision.Revision{Count: 1}, whole), parts.NewIndex())
+	value, packed, answers := fetch(t, from, from.Add("config", revision.Revision{Count: 1}, whole), parts.NewIndex())
 	assert.Equal(t, whole, value)
 	t.Logf("%d bytes as %d in %d answers", len(whole), packed, answers)
 	assert.Less(t, packed, len(whole)/4)
@@ -82,8 +82,8 @@
 		old := bytes.Repeat(piece.Draw(t, "old"), repeat.Draw(t, "times"))
 		value := append(bytes.Clone(old), bytes.Repeat(piece.Draw(t, "more"), repeat.Draw(t, "more times"))...)
 		from, here := parts.NewIndex(), parts.NewIndex()
-		here.Manifest("k", revision.Revision{Count: 1}, old)
-		got, _, _ := fetch(t, from, from.Manifest("k", revision.Revision{Count: 2}, value), here)
+		here.Add("k", revision.Revision{Count: 1}, old)
+		got, _, _ := fetch(t, from, from.Add("k", revision.Revision{Count: 2}, value), here)
 		assert.True(t, bytes.Equal(value, got))
 	})
 }
@@ -93,8 +93,8 @@
 // is fetched.
 func TestInvalidParts(t *testing.T) {
 	x := parts.NewIndex()
-	m := x.Manifest("k", revision.Revision{Count: 1}, routes(1, 100))
-	other := x.Manifest("other", revision.Revision{Count: 1}, bytes.Repeat([]byte("other"), 100))
+	m := x.Add("k", revision.Revision{Count: 1}, routes(1, 100))
+	other := x.Add("other", revision.Revision{Count: 1}, bytes.Repeat([]byte("other"), 100))
 	nothing := func(uint64) ([]byte, bool) { return nil, false }
 	a, err := parts.NewAssembly(m, nothing)
 	require.NoError(t, err)
@@ -121,8 +121,8 @@
 // of waiting.
 func TestValueReplacedDuringFetch(t *testing.T) {
 	x := parts.NewIndex()
-	old := x.Manifest("k", revision.Revision{Count: 1}, routes(1, 1000))
-	x.Manifest("k", revision.Revision{Count: 2}, routes(2, 1000))
+	old := x.Add("k", revision.Revision{Count: 1}, routes(1, 1000))
+	x.Add("k", revision.Revision{Count: 2}, routes(2, 1000))
 	assert.Len(t, x.Packed(old.Parts, 1<<20), len(old.Parts)-1)
 	assert.Empty(t, x.Packed(old.Parts[:1], 1<<20))
 }
@@ -131,7 +131,7 @@
 	value := routes(1, 4240)
 	b.SetBytes(int64(len(value)))
 	for b.Loop() {
-		parts.NewIndex().Manifest("k", revision.Revision{Count: 1}, value)
+		parts.NewIndex().Add("k", revision.Revision{Count: 1}, value)
 	}
 }
 
@@ -140,7 +140,7 @@
 	b.SetBytes(int64(len(value)))
 	for b.Loop() {
 		x := parts.NewIndex()
-		x.Packed(x.Manifest("k", revision.Revision{Count: 1}, value).Parts, 1<<30)
+		x.Packed(x.Add("k", revision.Revision{Count: 1}, value).Parts, 1<<30)
 	}
 }
 
@@ -149,7 +149,7 @@
 func BenchmarkFetch(b *testing.B) {
 	x := parts.NewIndex()
 	value := routes(1, 4240)
-	m := x.Manifest("k", revision.Revision{Count: 1}, value)
+	m := x.Add("k", revision.Revision{Count: 1}, value)
 	packed := x.Packed(m.Parts, 1<<30)
 	b.SetBytes(int64(len(value)))
 	b.ReportAllocs()
--- a/peer/fetch.go
+++ b/peer/fetch.go
@@ -12,10 +12,10 @@
 // ErrNoConfig is returned by Fetch if the agent sent no configuration document.
 var ErrNoConfig = peerErrors.NewType("no_config")
 
-// Fetch returns the current configuration document of an agent. An entry that
+// FetchConfig returns the current configuration document of an agent. An entry that
 // starts while the configuration service is down learns from it which endpoints
 // exist.
-func Fetch(ctx context.Context, self Self, dial ebonypulley.Dialer, addr string) ([]byte, error) {
+func FetchConfig(ctx context.Context, self Self, dial ebonypulley.Dialer, addr string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
 	nc, err := dial.OrTCP()(ctx, "tcp", addr)
@@ -32,7 +32,7 @@
 		// of the entry's attempts.
 		Incarnation: wire.NewID(),
 	})
-	_ = conn.Send(&wire.ConfigWanted{})
+	_ = conn.Send(&wire.ConfigRequest{})
 	var text []byte
 	err = conn.Serve(ctx, func(m wire.Message) {
 		if c, ok := m.(*wire.Config); ok {
--- a/peer/manager.go
+++ b/peer/manager.go
@@ -18,14 +18,14 @@
 	view  *membership.View
 	log   *event.Log
 	dial  ebonypulley.Dialer
-	// Freed, if set, is called with the time from each Cancel to its
+	// OnFreed, if set, is called with the time from each Cancel to its
 	// acknowledgement; until then the endpoint may hold memory for the attempt.
 	// It must be set before Run.
-	Freed func(time.Duration)
+	OnFreed func(time.Duration)
 
 	// ask is shared by all peers, so that only one of them at a time is asked
 	// for a newer document.
-	ask   config.Ask
+	ask   config.FetchTracker
 	mu    sync.Mutex
 	wg    sync.WaitGroup
 	peers map[string]*Peer
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -46,7 +46,7 @@
 	endpoint config.Endpoint
 	self     Self
 	store    *config.Store
-	ask      *config.Ask
+	ask      *config.FetchTracker
 	view     *membership.View
 	log      *event.Log
 	dial     ebonypulley.Dialer
@@ -76,7 +76,7 @@
 		view:     m.view,
 		log:      m.log.With(zap.String("endpoint", e.Name)),
 		dial:     m.dial,
-		onFreed:  m.Freed,
+		onFreed:  m.OnFreed,
 		streams:  make(map[wire.ID]*Stream),
 		cancels:  make(map[wire.ID]time.Time),
 	}
@@ -90,9 +90,9 @@
 	Connected   bool
 	Incarnation wire.Incarnation
 	Load        wire.Load
-	// Begun counts the attempts that this process opened since Load was
+	// Opened counts the attempts that this process opened since Load was
 	// reported.
-	Begun int
+	Opened int
 	// Streams counts the open attempts, Cancels the unacknowledged Cancels.
 	Streams int
 	Cancels int
@@ -106,15 +106,15 @@
 		Connected:   p.conn != nil,
 		Incarnation: p.incarnation,
 		Load:        p.load,
-		Begun:       p.opened,
+		Opened:      p.opened,
 		Streams:     len(p.streams),
 		Cancels:     len(p.cancels),
 	}
 }
 
-// Open starts the exchange of an attempt and returns it with the incarnation of
+// OpenStream starts the exchange of an attempt and returns it with the incarnation of
 // the connected agent. It returns ErrNotConnected if there is no connection.
-func (p *Peer) Open(id wire.ID) (*Stream, wire.Incarnation, error) {
+func (p *Peer) OpenStream(id wire.ID) (*Stream, wire.Incarnation, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn == nil {
@@ -215,7 +215,7 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		if idle := conn.Silence(now); idle > IdleTimeout {
+		if idle := conn.IdleTime(now); idle > IdleTimeout {
 			p.log.Emit(event.LinkSilent, zap.Duration("silence", idle))
 			conn.Close()
 			return
@@ -257,7 +257,7 @@
 	case *wire.Pong:
 		p.updateLoad(m.Load)
 		p.syncConfig(conn, config.Version{Generation: m.Generation, Digest: m.Digest})
-	case *wire.ConfigWanted:
+	case *wire.ConfigRequest:
 		if cur := p.store.Current(); cur != nil {
 			_ = conn.Send(&wire.Config{Text: cur.Text})
 		}
@@ -265,7 +265,7 @@
 		p.handleConfig(conn, m.Text)
 	case *wire.Cancelled:
 		p.handleCancelled(m.ID)
-	case wire.Attempted:
+	case wire.AttemptMessage:
 		p.deliver(conn, m)
 	}
 }
@@ -285,7 +285,7 @@
 	p.opened = 0
 	streams := p.streamsLocked()
 	p.mu.Unlock()
-	p.view.Hear(p.endpoint.Name, membership.Word{Incarnation: m.Incarnation})
+	p.view.Merge(p.endpoint.Name, membership.State{Incarnation: m.Incarnation})
 	p.log.Emit(event.LinkUp, zap.Stringer("incarnation", m.Incarnation))
 	for _, s := range streams {
 		_ = s.push(Event{Link: &LinkState{Up: true, Incarnation: m.Incarnation}})
@@ -304,7 +304,7 @@
 
 // handleDisconnect notifies all attempts that conn was lost, if it was in use.
 func (p *Peer) handleDisconnect(conn *wire.Conn) {
-	p.ask.Lost(conn)
+	p.ask.PeerLost(conn)
 	p.mu.Lock()
 	if p.conn != conn {
 		p.mu.Unlock()
@@ -320,12 +320,12 @@
 
 // deliver passes a message to the stream of its attempt. It closes the
 // connection to an agent that sends more than the window allows.
-func (p *Peer) deliver(conn *wire.Conn, m wire.Attempted) {
+func (p *Peer) deliver(conn *wire.Conn, m wire.AttemptMessage) {
 	if load, ok := reportedLoad(m); ok {
 		p.updateLoad(load)
 	}
 	p.mu.Lock()
-	s := p.streams[m.Attempt()]
+	s := p.streams[m.AttemptID()]
 	p.mu.Unlock()
 	if s == nil {
 		return
@@ -361,9 +361,9 @@
 	p.mu.Lock()
 	p.load = l
 	p.opened = 0
-	word := membership.Word{Incarnation: p.incarnation, Draining: l.Draining}
+	word := membership.State{Incarnation: p.incarnation, Draining: l.Draining}
 	p.mu.Unlock()
-	if p.view.Hear(p.endpoint.Name, word) && l.Draining {
+	if p.view.Merge(p.endpoint.Name, word) && l.Draining {
 		p.log.Emit(event.PeerDraining)
 	}
 }
@@ -374,14 +374,14 @@
 	p.mu.Lock()
 	p.agentConfig = theirs
 	p.mu.Unlock()
-	if theirs.Newer(p.store.Version()) && p.ask.Begin(time.Now(), conn, theirs) {
-		_ = conn.Send(&wire.ConfigWanted{})
+	if theirs.Newer(p.store.Version()) && p.ask.TryStart(time.Now(), conn, theirs) {
+		_ = conn.Send(&wire.ConfigRequest{})
 	}
 }
 
 // handleConfig offers the document that the agent sent to the store.
 func (p *Peer) handleConfig(conn *wire.Conn, text []byte) {
 	verdict, findings := p.store.Offer("peer "+p.endpoint.Name, text)
-	p.ask.Came(conn, verdict)
-	config.LogVerdict(p.log, verdict, p.store.Generation(), findings)
+	p.ask.Received(conn, verdict)
+	config.LogOfferResult(p.log, verdict, p.store.Generation(), findings)
 }
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -20,13 +20,13 @@
 	ErrOverflow = peerErrors.NewType("overflow")
 )
 
-// Window is the flow control window: the number of tokens that an agent may
+// WindowTokens is the flow control window: the number of tokens that an agent may
 // send before an Ack.
-const Window = 256
+const WindowTokens = 256
 
 // maxQueuedEvents bounds the events queued for one attempt: a full window, the
 // same window again after a resume, and 64 messages that carry no tokens.
-const maxQueuedEvents = 2*Window + 64
+const maxQueuedEvents = 2*WindowTokens + 64
 
 // LinkState reports that the connection to an agent was lost or re-established.
 type LinkState struct {
--- a/plugins/scorer/load/load.go
+++ b/plugins/scorer/load/load.go
@@ -24,5 +24,5 @@
 // Score implements schedule.Scorer.
 func (*Load) Score(_ *schedule.Request, c *schedule.Candidate) float64 {
 	backlog := float64(c.Load.Backlog) / halfScoreBacklog
-	return 1 / (1 + c.Occupied() + backlog)
+	return 1 / (1 + c.Utilization() + backlog)
 }
--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -45,13 +45,13 @@
 	maxEndpoints = 1024
 )
 
-// Ledger holds what an entry knows of crashes and of the requests that ran at the crashed
+// Detector holds what an entry knows of crashes and of the requests that ran at the crashed
 // endpoints. Requests are identified by a hash of their content. It is safe for concurrent
 // use.
-type Ledger struct {
-	// Found, if set, is called for each content that becomes blocked, with the number of its
+type Detector struct {
+	// OnBlocked, if set, is called for each content that becomes blocked, with the number of its
 	// crashes.
-	Found func(content uint64, crashes int)
+	OnBlocked func(content uint64, crashes int)
 
 	mu        sync.Mutex
 	contents  map[uint64]*record
@@ -98,28 +98,28 @@
 	seq uint64
 }
 
-// NewLedger returns an instance without records.
-func NewLedger() *Ledger {
-	return &Ledger{contents: make(map[uint64]*record), recentCrashes: make(map[string]time.Time)}
+// NewDetector returns an instance without records.
+func NewDetector() *Detector {
+	return &Detector{contents: make(map[uint64]*record), recentCrashes: make(map[string]time.Time)}
 }
 
 // SetEndpoints sets the IDs of the published endpoints.
-func (l *Ledger) SetEndpoints(ids []string) {
+func (l *Detector) SetEndpoints(ids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.endpoints = ids
 }
 
-// Turned reports whether requests with a content are blocked.
-func (l *Ledger) Turned(now time.Time, content uint64) bool {
+// Blocked reports whether requests with a content are blocked.
+func (l *Detector) Blocked(now time.Time, content uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.contents[content]
 	return r != nil && r.blocked && now.Sub(r.newest) <= evidenceTTL
 }
 
-// Crashed records that an endpoint crashed during an attempt at a content.
-func (l *Ledger) Crashed(now time.Time, content uint64, a Attempt) {
+// RecordCrash records that an endpoint crashed during an attempt at a content.
+func (l *Detector) RecordCrash(now time.Time, content uint64, a Attempt) {
 	if content == 0 {
 		return // the content is unknown
 	}
@@ -134,12 +134,12 @@
 	l.notifyBlocked(content, found)
 }
 
-// Served records a complete answer. A poison request never gets one, so all crashes
+// RecordSuccess records a complete answer. A poison request never gets one, so all crashes
 // before it had other causes and are discarded.
 //
 // Without this, a request that many callers send in the same form would be blocked when
 // endpoints crash for other reasons, because it runs at each of them.
-func (l *Ledger) Served(now time.Time, content uint64) {
+func (l *Detector) RecordSuccess(now time.Time, content uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if content == 0 {
@@ -153,7 +153,7 @@
 
 // add records a crash unless it is already known or a complete answer came after it. It
 // returns the record if the crash was added, else nil; l.mu must be held.
-func (l *Ledger) add(now time.Time, content uint64, c crash) *record {
+func (l *Detector) add(now time.Time, content uint64, c crash) *record {
 	l.countCrash(now, c)
 	r := l.contents[content]
 	if r == nil {
@@ -185,7 +185,7 @@
 
 // countCrash adds a crash to those that the crash rate is measured from; l.mu must be
 // held.
-func (l *Ledger) countCrash(now time.Time, c crash) {
+func (l *Detector) countCrash(now time.Time, c crash) {
 	for id, at := range l.recentCrashes {
 		if now.Sub(at) > rateWindow {
 			delete(l.recentCrashes, id)
@@ -198,7 +198,7 @@
 
 // clear records a complete answer and removes the crashes up to it. It reports whether
 // there were any; l.mu must be held.
-func (l *Ledger) clear(r *record, at time.Time) bool {
+func (l *Detector) clear(r *record, at time.Time) bool {
 	if !at.After(r.lastSuccess) {
 		return false
 	}
@@ -220,7 +220,7 @@
 // endpoint crashing within the time that the attempt had lasted. The crash rate is the
 // highest of the present one and those at the time of each crash: crashes during a burst
 // must not be judged by the low rate after it.
-func (l *Ledger) evaluate(r *record) int {
+func (l *Detector) evaluate(r *record) int {
 	if r.blocked {
 		return 0
 	}
@@ -259,7 +259,7 @@
 // crashRate returns how often an endpoint crashes, in crashes per second. One crash more
 // than observed is counted, so that a small number of crashes proves nothing; l.mu must be
 // held.
-func (l *Ledger) crashRate() float64 {
+func (l *Detector) crashRate() float64 {
 	alive := 0
 	for _, id := range l.endpoints {
 		if _, crashed := l.recentCrashes[id]; !crashed {
@@ -271,7 +271,7 @@
 
 // evict keeps the number of records within maxContents: it removes expired records or
 // else the oldest one, and a blocked one only if all are blocked. l.mu must be held.
-func (l *Ledger) evict(now time.Time) {
+func (l *Detector) evict(now time.Time) {
 	if len(l.contents) <= maxContents {
 		return
 	}
@@ -296,8 +296,8 @@
 
 // notifyBlocked calls the callback if evaluate returned a number of crashes; l.mu must not
 // be held.
-func (l *Ledger) notifyBlocked(content uint64, crashes int) {
-	if crashes > 0 && l.Found != nil {
-		l.Found(content, crashes)
+func (l *Detector) notifyBlocked(content uint64, crashes int) {
+	if crashes > 0 && l.OnBlocked != nil {
+		l.OnBlocked(content, crashes)
 	}
 }
--- a/poison/ledger_test.go
+++ b/poison/ledger_test.go
@@ -21,8 +21,8 @@
 	soon = 80 * time.Millisecond
 )
 
-func newLedger() *poison.Ledger {
-	l := poison.NewLedger()
+func newLedger() *poison.Detector {
+	l := poison.NewDetector()
 	ids := make([]string, 0, endpoints)
 	for i := range endpoints {
 		ids = append(ids, fmt.Sprint("published-", i))
@@ -38,19 +38,19 @@
 func TestThreeCrashesBlock(t *testing.T) {
 	l := newLedger()
 	found := 0
-	l.Found = func(content uint64, crashes int) {
+	l.OnBlocked = func(content uint64, crashes int) {
 		assert.Equal(t, uint64(bad), content)
 		found = crashes
 	}
 	for i := range 3 {
-		assert.False(t, l.Turned(at(0), bad))
-		l.Crashed(at(time.Duration(i)*time.Second), bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
-		l.Crashed(at(time.Duration(i)*time.Second), bad, poison.Attempt{Endpoint: name(i), Lasted: soon}) // two attempts at one endpoint
+		assert.False(t, l.Blocked(at(0), bad))
+		l.RecordCrash(at(time.Duration(i)*time.Second), bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
+		l.RecordCrash(at(time.Duration(i)*time.Second), bad, poison.Attempt{Endpoint: name(i), Lasted: soon}) // two attempts at one endpoint
 	}
-	assert.True(t, l.Turned(at(3*time.Second), bad))
+	assert.True(t, l.Blocked(at(3*time.Second), bad))
 	assert.Equal(t, 3, found)
-	assert.False(t, l.Turned(at(3*time.Second), bad+1))
-	assert.False(t, l.Turned(at(2*time.Hour), bad), "the service may have been fixed by then")
+	assert.False(t, l.Blocked(at(3*time.Second), bad+1))
+	assert.False(t, l.Blocked(at(2*time.Hour), bad), "the service may have been fixed by then")
 }
 
 // Endpoints crash one after the other for other reasons, and callers repeat the same
@@ -61,14 +61,14 @@
 	l := newLedger()
 	const innocent = 1
 	for i := range 12 {
-		l.Crashed(at(time.Duration(i)*700*time.Millisecond), uint64(100+i), poison.Attempt{Endpoint: name(i), Lasted: time.Second})
+		l.RecordCrash(at(time.Duration(i)*700*time.Millisecond), uint64(100+i), poison.Attempt{Endpoint: name(i), Lasted: time.Second})
 	}
 	now := at(9 * time.Second)
 	for i := range 8 {
-		assert.False(t, l.Turned(now, innocent) && i <= 5)
-		l.Crashed(now, innocent, poison.Attempt{Endpoint: name(i), Lasted: time.Second, Ran: true})
+		assert.False(t, l.Blocked(now, innocent) && i <= 5)
+		l.RecordCrash(now, innocent, poison.Attempt{Endpoint: name(i), Lasted: time.Second, Ran: true})
 	}
-	assert.True(t, l.Turned(now, innocent))
+	assert.True(t, l.Blocked(now, innocent))
 }
 
 // The engines are busy, so a poison request waits there for a second before it starts,
@@ -78,11 +78,11 @@
 	l := newLedger()
 	for i := range 5 {
 		now := at(time.Duration(i) * time.Second)
-		assert.False(t, l.Turned(now, bad))
-		l.Crashed(now, uint64(100+i), poison.Attempt{Endpoint: fmt.Sprint("another-", i), Lasted: time.Second})
-		l.Crashed(now, bad, poison.Attempt{Endpoint: name(i), Lasted: 1200 * time.Millisecond})
+		assert.False(t, l.Blocked(now, bad))
+		l.RecordCrash(now, uint64(100+i), poison.Attempt{Endpoint: fmt.Sprint("another-", i), Lasted: time.Second})
+		l.RecordCrash(now, bad, poison.Attempt{Endpoint: name(i), Lasted: 1200 * time.Millisecond})
 	}
-	assert.True(t, l.Turned(at(5*time.Second), bad))
+	assert.True(t, l.Blocked(at(5*time.Second), bad))
 }
 
 // Many callers send the same request while endpoints crash for other reasons, so it runs
@@ -92,22 +92,22 @@
 	here, there := newLedger(), newLedger()
 	for i := range 10 {
 		now := at(time.Duration(i) * time.Second)
-		here.Crashed(now, bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
-		there.Served(now.Add(100*time.Millisecond), bad)
+		here.RecordCrash(now, bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
+		there.RecordSuccess(now.Add(100*time.Millisecond), bad)
 		exchange(now.Add(200*time.Millisecond), here, there)
-		assert.False(t, here.Turned(now, bad), i)
-		assert.False(t, there.Turned(now, bad), i)
+		assert.False(t, here.Blocked(now, bad), i)
+		assert.False(t, there.Blocked(now, bad), i)
 	}
 }
 
 // exchange sends all updates of two entries to each other, twice, so that relayed ones
 // arrive as well.
-func exchange(now time.Time, a, b *poison.Ledger) {
+func exchange(now time.Time, a, b *poison.Detector) {
 	for range 2 {
-		fromA, _ := a.News(now, 0)
-		fromB, _ := b.News(now, 0)
-		a.Hear(now, fromB)
-		b.Hear(now, fromA)
+		fromA, _ := a.Updates(now, 0)
+		fromB, _ := b.Updates(now, 0)
+		a.Merge(now, fromB)
+		b.Merge(now, fromA)
 	}
 }
 
@@ -115,9 +115,9 @@
 // have exchanged updates. An entry that starts later learns of it from any one of them,
 // although that one saw only a single crash itself.
 func TestCrashesOfAllEntriesCount(t *testing.T) {
-	entries := []*poison.Ledger{newLedger(), newLedger(), newLedger()}
+	entries := []*poison.Detector{newLedger(), newLedger(), newLedger()}
 	for i, l := range entries {
-		l.Crashed(at(time.Duration(i)*time.Second), bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
+		l.RecordCrash(at(time.Duration(i)*time.Second), bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
 	}
 	now := at(3 * time.Second)
 	for i := range entries {
@@ -125,14 +125,14 @@
 	}
 	exchange(now, entries[0], entries[1])
 	for _, l := range entries {
-		assert.True(t, l.Turned(now, bad))
+		assert.True(t, l.Blocked(now, bad))
 	}
 	newcomer := newLedger()
 	later := now.Add(10 * time.Minute)
-	updates, upTo := entries[2].News(later, 0)
-	newcomer.Hear(later, updates)
-	assert.True(t, newcomer.Turned(later, bad))
-	more, _ := entries[2].News(later, upTo)
+	updates, upTo := entries[2].Updates(later, 0)
+	newcomer.Merge(later, updates)
+	assert.True(t, newcomer.Blocked(later, bad))
+	more, _ := entries[2].Updates(later, upTo)
 	assert.Empty(t, more, "each update is sent once")
 }
 
@@ -141,16 +141,16 @@
 func TestRelayedUpdatesExpire(t *testing.T) {
 	a, b := newLedger(), newLedger()
 	for i := range 3 {
-		a.Crashed(at(0), bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
+		a.RecordCrash(at(0), bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
 	}
 	exchange(at(time.Second), a, b)
-	seqA, seqB := a.Seq(), b.Seq()
+	seqA, seqB := a.LatestSeq(), b.LatestSeq()
 	for i := range 100 {
 		exchange(at(time.Duration(i)*time.Minute), a, b)
 	}
-	assert.Equal(t, seqA, a.Seq())
-	assert.Equal(t, seqB, b.Seq())
-	assert.False(t, b.Turned(at(100*time.Minute), bad))
+	assert.Equal(t, seqA, a.LatestSeq())
+	assert.Equal(t, seqB, b.LatestSeq())
+	assert.False(t, b.Blocked(at(100*time.Minute), bad))
 }
 
 // During an outage all endpoints crash again and again, with other requests running each
@@ -158,24 +158,24 @@
 func TestLedgerIsBounded(t *testing.T) {
 	l := newLedger()
 	for i := range 3 {
-		l.Crashed(at(0), bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
+		l.RecordCrash(at(0), bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
 	}
 	for i := range 10_000 {
 		now := at(time.Duration(i) * time.Millisecond)
-		l.Crashed(now, uint64(i+100_000), poison.Attempt{Endpoint: name(i / 16), Lasted: time.Second})
+		l.RecordCrash(now, uint64(i+100_000), poison.Attempt{Endpoint: name(i / 16), Lasted: time.Second})
 	}
-	updates, _ := l.News(at(10*time.Second), 0)
+	updates, _ := l.Updates(at(10*time.Second), 0)
 	assert.LessOrEqual(t, len(updates), 256)
 	total, seq := 0, uint64(0)
 	for {
-		updates, upTo := l.News(at(10*time.Second), seq)
+		updates, upTo := l.Updates(at(10*time.Second), seq)
 		if len(updates) == 0 {
 			break
 		}
 		total, seq = total+len(updates), upTo
 	}
 	assert.LessOrEqual(t, total, 2048+3)
-	assert.True(t, l.Turned(at(10*time.Second), bad))
+	assert.True(t, l.Blocked(at(10*time.Second), bad))
 }
 
 // During a burst of crashes an innocent request that is repeated runs at three crashed
@@ -187,17 +187,17 @@
 	now := at(0)
 	for i := range 12 {
 		now = at(time.Duration(i) * 700 * time.Millisecond)
-		there.Crashed(now, uint64(100+i), poison.Attempt{Endpoint: name(i), Lasted: time.Second})
+		there.RecordCrash(now, uint64(100+i), poison.Attempt{Endpoint: name(i), Lasted: time.Second})
 	}
 	for i := range 3 {
-		there.Crashed(now, innocent, poison.Attempt{Endpoint: name(i), Lasted: time.Second})
+		there.RecordCrash(now, innocent, poison.Attempt{Endpoint: name(i), Lasted: time.Second})
 	}
-	assert.False(t, there.Turned(now, innocent))
+	assert.False(t, there.Blocked(now, innocent))
 	later := now.Add(time.Minute)
 	newcomer := newLedger()
-	updates, _ := there.News(later, 0)
-	newcomer.Hear(later, updates)
-	assert.False(t, newcomer.Turned(later, innocent))
+	updates, _ := there.Updates(later, 0)
+	newcomer.Merge(later, updates)
+	assert.False(t, newcomer.Blocked(later, innocent))
 }
 
 // An innocent request ran at three crashed engines during a burst of crashes. It is sent
@@ -206,12 +206,12 @@
 	const innocent = 1
 	l := newLedger()
 	for i := range 12 {
-		l.Crashed(at(time.Duration(i)*700*time.Millisecond), uint64(100+i), poison.Attempt{Endpoint: name(i), Lasted: time.Second})
+		l.RecordCrash(at(time.Duration(i)*700*time.Millisecond), uint64(100+i), poison.Attempt{Endpoint: name(i), Lasted: time.Second})
 	}
 	for i := range 3 {
-		l.Crashed(at(8*time.Second), innocent, poison.Attempt{Endpoint: name(i), Lasted: time.Second})
+		l.RecordCrash(at(8*time.Second), innocent, poison.Attempt{Endpoint: name(i), Lasted: time.Second})
 	}
 	later := at(2 * time.Minute)
-	l.Crashed(later, innocent, poison.Attempt{Endpoint: name(20), Lasted: time.Second})
-	assert.False(t, l.Turned(later, innocent))
+	l.RecordCrash(later, innocent, poison.Attempt{Endpoint: name(20), Lasted: time.Second})
+	assert.False(t, l.Blocked(later, innocent))
 }
--- a/poison/news.go
+++ b/poison/news.go
@@ -18,9 +18,9 @@
 	relayThreshold = 2
 )
 
-// Word is an update that one entry sends others about a content: a crash during an
+// Update is an update that one entry sends others about a content: a crash during an
 // attempt at it, or a complete answer.
-type Word struct {
+type Update struct {
 	Content uint64
 	// Attempt has no Endpoint if the update is about a complete answer.
 	Attempt
@@ -28,20 +28,20 @@
 	Age time.Duration
 }
 
-// Seq returns the sequence number of the newest update.
-func (l *Ledger) Seq() uint64 {
+// LatestSeq returns the sequence number of the newest update.
+func (l *Detector) LatestSeq() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.seq
 }
 
-// News returns the updates for an entry that has received all up to a sequence number,
+// Updates returns the updates for an entry that has received all up to a sequence number,
 // and the sequence number up to which it is complete afterwards.
-func (l *Ledger) News(now time.Time, after uint64) ([]Word, uint64) {
+func (l *Detector) Updates(now time.Time, after uint64) ([]Update, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	type sequenced struct {
-		Word
+		Update
 		seq uint64
 	}
 	var list []sequenced
@@ -52,11 +52,11 @@
 		}
 		for _, c := range r.crashes {
 			if c.seq > after {
-				list = append(list, sequenced{Word{content, c.Attempt, now.Sub(c.at)}, c.seq})
+				list = append(list, sequenced{Update{content, c.Attempt, now.Sub(c.at)}, c.seq})
 			}
 		}
 		if r.successSeq > after {
-			list = append(list, sequenced{Word{Content: content, Age: now.Sub(r.lastSuccess)}, r.successSeq})
+			list = append(list, sequenced{Update{Content: content, Age: now.Sub(r.lastSuccess)}, r.successSeq})
 		}
 	}
 	slices.SortFunc(list, func(a, b sequenced) int { return cmp.Compare(a.seq, b.seq) })
@@ -65,15 +65,15 @@
 		list = list[:maxUpdates]
 		upTo = list[maxUpdates-1].seq
 	}
-	updates := make([]Word, 0, len(list))
+	updates := make([]Update, 0, len(list))
 	for _, n := range list {
-		updates = append(updates, n.Word)
+		updates = append(updates, n.Update)
 	}
 	return updates, upTo
 }
 
-// Hear merges updates from another entry.
-func (l *Ledger) Hear(now time.Time, updates []Word) {
+// Merge merges updates from another entry.
+func (l *Detector) Merge(now time.Time, updates []Update) {
 	for _, w := range updates {
 		if w.Age < 0 || w.Age > evidenceTTL {
 			continue
@@ -86,7 +86,7 @@
 	}
 }
 
-func (l *Ledger) mergeCrash(now time.Time, w Word) {
+func (l *Detector) mergeCrash(now time.Time, w Update) {
 	l.mu.Lock()
 	found := 0
 	r := l.add(now, w.Content, crash{Attempt: w.Attempt, at: now.Add(-w.Age)})
@@ -98,7 +98,7 @@
 	l.notifyBlocked(w.Content, found)
 }
 
-func (l *Ledger) mergeSuccess(at time.Time, content uint64) {
+func (l *Detector) mergeSuccess(at time.Time, content uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.contents[content]
@@ -113,7 +113,7 @@
 
 // assignSeqs assigns sequence numbers to the crashes of a record that have none, if it has
 // at least minCrashes; l.mu must be held.
-func (l *Ledger) assignSeqs(r *record, minCrashes int) {
+func (l *Detector) assignSeqs(r *record, minCrashes int) {
 	if len(r.crashes) < minCrashes {
 		return
 	}
@@ -127,7 +127,7 @@
 
 // assignSuccessSeq assigns a sequence number to the last complete answer of a record unless
 // it has one; l.mu must be held.
-func (l *Ledger) assignSuccessSeq(r *record) {
+func (l *Detector) assignSuccessSeq(r *record) {
 	if r.sequencedSuccess.Equal(r.lastSuccess) {
 		return
 	}
--- a/quota/census_test.go
+++ b/quota/census_test.go
@@ -18,7 +18,7 @@
 	f.restart(4, true)
 	newcomer := f.entries[4]
 	for known := 2; known <= 5; known++ {
-		newcomer.SetEntries(known)
+		newcomer.SetFleetSize(known)
 	}
 	for i, e := range f.entries[:4] {
 		newcomer.MergeUse(at(10*time.Millisecond), e.name, quota.Incarnation{byte(i)}, nil)
@@ -65,7 +65,7 @@
 	f.restart(0, true)
 	newcomer, other := f.entries[0], f.entries[1]
 	hear := func(now time.Time) { newcomer.MergeUse(now, other.name, quota.Incarnation{1}, nil) }
-	newcomer.SetEntries(2)
+	newcomer.SetFleetSize(2)
 	hear(start)
 	assert.True(t, newcomer.Take(start, workspace, 9000).OK)
 	refused := newcomer.Take(start, workspace, 9000)
--- a/quota/part.go
+++ b/quota/part.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Part returns this process's share of a bound, beyond which nothing is tolerated, on what
+// FixedShare returns this process's share of a bound, beyond which nothing is tolerated, on what
 // all entries together may use in any window.
 //
 // The bound would be exceeded when all entries start together and have not heard of each
@@ -10,11 +10,11 @@
 // share again within one window after its restart. Therefore shares never grow: a process
 // that knows of no other, though there are some, has none, and a new one has none for one
 // window, in which it learns the fleet size, including entries that it does not hear.
-func (l *Ledger) Part(now time.Time, total float64, window time.Duration) float64 {
+func (l *Ledger) FixedShare(now time.Time, total float64, window time.Duration) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	newcomer := now.Sub(l.settings.Started) < window
-	alone := l.settings.Alone && l.fleet.peak <= 1
+	alone := l.settings.SingleEntry && l.fleet.peak <= 1
 	switch {
 	case alone && !(l.settings.Restarted && newcomer):
 		return total
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -134,8 +134,8 @@
 	// so that a former incarnation may have used its share just now.
 	Started   time.Time
 	Restarted bool
-	// Alone says that there are no other entries, unless SetEntries says otherwise.
-	Alone bool
+	// SingleEntry says that there are no other entries, unless SetFleetSize says otherwise.
+	SingleEntry bool
 	// Seed seeds the random refusals.
 	Seed uint64
 }
@@ -145,7 +145,7 @@
 	settings.Tolerance = settings.Tolerance.withDefaults()
 	return &Ledger{
 		settings: settings, endpointTolerance: settings.EndpointTolerance.withoutBurst(endpointLimitBurst),
-		fleet:  newFleetSize(settings.Restarted && !settings.Alone),
+		fleet:  newFleetSize(settings.Restarted && !settings.SingleEntry),
 		limits: make(map[ID]Limit), endpointLimits: make(map[ID]*endpointLimitState), accounts: make(map[ID]*account), peers: make(map[string]*peer),
 		rnd: rand.New(rand.NewPCG(settings.Seed, settings.Seed)),
 	}
@@ -166,9 +166,9 @@
 	l.limits = limits
 }
 
-// SetEntries sets the largest fleet size lately, this entry included. Zero means unknown:
+// SetFleetSize sets the largest fleet size lately, this entry included. Zero means unknown:
 // nothing that has a limit is admitted then.
-func (l *Ledger) SetEntries(fleetSize int) {
+func (l *Ledger) SetFleetSize(fleetSize int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fleet.update(fleetSize)
@@ -204,8 +204,8 @@
 // Decision is the result of Take.
 type Decision struct {
 	OK bool
-	// Counted says that there is a limit, so that what is not used has to be returned.
-	Counted bool
+	// Limited says that there is a limit, so that what is not used has to be returned.
+	Limited bool
 	// Wait is how long until the workspace is certain to be admitted if nobody else uses it.
 	Wait time.Duration
 	// Level is the level of the bucket in tokens, negative for a debt; it is for the log.
@@ -231,7 +231,7 @@
 	a := l.account(now, workspace, limit)
 	a.chargeExpected(now)
 	level := a.bucket.TokensAt(now)
-	v := Decision{OK: l.admits(now, a, level), Counted: true, Level: level, Share: a.share}
+	v := Decision{OK: l.admits(now, a, level), Limited: true, Level: level, Share: a.share}
 	if !v.OK {
 		v.Wait = l.wait(now, a, level)
 		return v
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -73,7 +73,7 @@
 	e.incarnation++
 	e.SetLimits(f.limits)
 	if !restarted {
-		e.SetEntries(len(f.entries))
+		e.SetFleetSize(len(f.entries))
 	}
 }
 
@@ -94,7 +94,7 @@
 				continue
 			}
 			to.MergeUse(now, from.name, quota.Incarnation{byte(from.incarnation)}, uses)
-			to.SetEntries(len(f.entries))
+			to.SetFleetSize(len(f.entries))
 		}
 	}
 }
@@ -346,7 +346,7 @@
 // large fraction of their limit are reported.
 func TestReportedUseIsBounded(t *testing.T) {
 	l := quota.NewLedger(quota.Settings{Tolerance: tolerance})
-	l.SetEntries(920)
+	l.SetFleetSize(920)
 	limits := make(map[quota.ID]quota.Limit)
 	for i := range 14_000 {
 		limits[quota.NewID(fmt.Sprint(i))] = limit
--- a/quota/restart_test.go
+++ b/quota/restart_test.go
@@ -60,7 +60,7 @@
 		if d%interval == 0 {
 			f.exchangeUseWithin(at(d), func(i int) int { return i / known })
 			for _, e := range f.entries {
-				e.SetEntries(known)
+				e.SetFleetSize(known)
 			}
 		}
 		f.take(at(d), int(d/step*7)%entries, int(l.Rate*load*step.Seconds()))
--- a/quota/size_test.go
+++ b/quota/size_test.go
@@ -81,7 +81,7 @@
 	for i := range l.all {
 		l.all[i] = quota.NewLedger(quota.Settings{Tolerance: tolerance, Restarted: restarted, Seed: uint64(i)})
 		l.all[i].SetLimits(hotLimits())
-		l.all[i].SetEntries(entries)
+		l.all[i].SetFleetSize(entries)
 	}
 }
 
--- a/quota/stated.go
+++ b/quota/stated.go
@@ -29,14 +29,14 @@
 // EndpointID returns the ID under which the requests to an endpoint are counted.
 func EndpointID(endpoint string) ID { return ID(xxhash.Sum64String("endpoint\x00" + endpoint)) }
 
-// Statement is the limit that an endpoint advertises in an answer, or that it advertises
+// EndpointLimit is the limit that an endpoint advertises in an answer, or that it advertises
 // none.
-type Statement struct {
+type EndpointLimit struct {
 	Endpoint ID
-	// Named says that it advertises a limit, PerSecond the requests a second that it then
+	// Advertised says that it advertises a limit, PerSecond the requests a second that it then
 	// accepts.
-	Named     bool
-	PerSecond float64
+	Advertised bool
+	PerSecond  float64
 	// Age is how long ago that was.
 	Age time.Duration
 }
@@ -55,16 +55,16 @@
 	lastOwn, changed time.Time
 }
 
-// State applies what an endpoint advertises in the answer to a request that was sent at
+// SetEndpointLimit applies what an endpoint advertises in the answer to a request that was sent at
 // asked. It reports whether that changes the endpoint's limit.
-func (l *Ledger) State(now, asked time.Time, s Statement) (changed bool) {
+func (l *Ledger) SetEndpointLimit(now, asked time.Time, s EndpointLimit) (changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	validAt := now
-	if !s.Named {
+	if !s.Advertised {
 		validAt = asked
 	}
-	if l.endpointLimits[s.Endpoint] == nil && !s.Named {
+	if l.endpointLimits[s.Endpoint] == nil && !s.Advertised {
 		return false // like most endpoints, it has no limit
 	}
 	changed = l.applyEndpointLimit(now, validAt, s)
@@ -77,7 +77,7 @@
 //
 // An answer without a limit may already have been on its way when another one advertised the
 // limit. Only an answer to a request sent after that shows that the limit is lifted.
-func (l *Ledger) applyEndpointLimit(now, validAt time.Time, s Statement) (changed bool) {
+func (l *Ledger) applyEndpointLimit(now, validAt time.Time, s EndpointLimit) (changed bool) {
 	known := l.endpointLimits[s.Endpoint]
 	switch {
 	case known == nil:
@@ -86,8 +86,8 @@
 	case !validAt.After(known.validAt):
 		return false
 	}
-	changed = known.advertised != s.Named || known.perSecond != s.PerSecond
-	known.advertised, known.perSecond, known.validAt = s.Named, s.PerSecond, validAt
+	changed = known.advertised != s.Advertised || known.perSecond != s.PerSecond
+	known.advertised, known.perSecond, known.validAt = s.Advertised, s.PerSecond, validAt
 	known.limit = Limit{Rate: max(s.PerSecond, minEndpointRate), Burst: endpointLimitBurst, Tolerance: l.endpointTolerance}
 	if changed {
 		known.changed = now
@@ -97,23 +97,23 @@
 
 // OwnEndpointLimits returns the limits advertised to this entry that are to be reported to
 // others.
-func (l *Ledger) OwnEndpointLimits(now time.Time) []Statement {
+func (l *Ledger) OwnEndpointLimits(now time.Time) []EndpointLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var list []Statement
+	var list []EndpointLimit
 	for id, s := range l.endpointLimits {
 		if now.Sub(s.lastOwn) <= endpointLimitReportTime {
-			list = append(list, Statement{Endpoint: id, Named: s.advertised, PerSecond: s.perSecond, Age: now.Sub(s.validAt)})
+			list = append(list, EndpointLimit{Endpoint: id, Advertised: s.advertised, PerSecond: s.perSecond, Age: now.Sub(s.validAt)})
 		}
 	}
-	slices.SortFunc(list, func(a, b Statement) int {
+	slices.SortFunc(list, func(a, b EndpointLimit) int {
 		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 	return list[:min(len(list), maxEndpointLimits)]
 }
 
 // MergeEndpointLimits merges the limits advertised to another entry.
-func (l *Ledger) MergeEndpointLimits(now time.Time, list []Statement) {
+func (l *Ledger) MergeEndpointLimits(now time.Time, list []EndpointLimit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range list {
--- a/quota/stated_test.go
+++ b/quota/stated_test.go
@@ -12,17 +12,17 @@
 
 var endpoint = quota.EndpointID("e")
 
-func limited(l *quota.Ledger, now time.Time) bool { return l.Take(now, endpoint, 0).Counted }
+func limited(l *quota.Ledger, now time.Time) bool { return l.Take(now, endpoint, 0).Limited }
 
 // TestOlderAnswerDoesNotLiftLimit guards against a limit that is lifted by an answer which
 // was already on its way when the endpoint advertised the limit, and arrives after it.
 func TestOlderAnswerDoesNotLiftLimit(t *testing.T) {
 	l := quota.NewLedger(quota.Settings{})
-	l.SetEntries(1)
-	l.State(at(time.Second), at(900*time.Millisecond), quota.Statement{Endpoint: endpoint, Named: true, PerSecond: 2})
-	l.State(at(1100*time.Millisecond), at(950*time.Millisecond), quota.Statement{Endpoint: endpoint})
+	l.SetFleetSize(1)
+	l.SetEndpointLimit(at(time.Second), at(900*time.Millisecond), quota.EndpointLimit{Endpoint: endpoint, Advertised: true, PerSecond: 2})
+	l.SetEndpointLimit(at(1100*time.Millisecond), at(950*time.Millisecond), quota.EndpointLimit{Endpoint: endpoint})
 	assert.True(t, limited(l, at(1200*time.Millisecond)))
-	l.State(at(1300*time.Millisecond), at(1200*time.Millisecond), quota.Statement{Endpoint: endpoint})
+	l.SetEndpointLimit(at(1300*time.Millisecond), at(1200*time.Millisecond), quota.EndpointLimit{Endpoint: endpoint})
 	assert.False(t, limited(l, at(1400*time.Millisecond)))
 }
 
@@ -31,14 +31,14 @@
 func TestEndpointLimitsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := quota.NewLedger(quota.Settings{})
-		l.SetEntries(2)
+		l.SetFleetSize(2)
 		newest, named := -1, false
 		now := at(time.Minute)
 		for _, second := range rapid.SliceOfN(rapid.IntRange(0, 30), 1, 40).Draw(t, "seconds") {
-			s := quota.Statement{Endpoint: endpoint, Named: second%3 != 0, PerSecond: float64(second), Age: time.Minute - time.Duration(second)*time.Second}
-			l.MergeEndpointLimits(now, []quota.Statement{s})
+			s := quota.EndpointLimit{Endpoint: endpoint, Advertised: second%3 != 0, PerSecond: float64(second), Age: time.Minute - time.Duration(second)*time.Second}
+			l.MergeEndpointLimits(now, []quota.EndpointLimit{s})
 			if second > newest {
-				newest, named = second, s.Named
+				newest, named = second, s.Advertised
 			}
 		}
 		assert.Equal(t, named, limited(l, now))
@@ -49,8 +49,8 @@
 // nobody learns when its limit is lifted.
 func TestEndpointLimitOfZero(t *testing.T) {
 	l := quota.NewLedger(quota.Settings{})
-	l.SetEntries(1)
-	l.State(start, start, quota.Statement{Endpoint: endpoint, Named: true})
+	l.SetFleetSize(1)
+	l.SetEndpointLimit(start, start, quota.EndpointLimit{Endpoint: endpoint, Advertised: true})
 	sent := 0
 	for d := time.Duration(0); d < time.Minute; d += 50 * time.Millisecond {
 		if l.Take(at(d), endpoint, 1).OK {
@@ -67,9 +67,9 @@
 func TestIsolatedEntryKeepsEndpointLimit(t *testing.T) {
 	l := quota.NewLedger(quota.Settings{EndpointTolerance: quota.Tolerance{Window: 4 * time.Second, Overrun: 0.5, Slack: 5}, Restarted: true})
 	limited, other := quota.EndpointID("limited"), quota.EndpointID("other")
-	l.MergeEndpointLimits(start, []quota.Statement{{Endpoint: limited, Named: true, PerSecond: 2}})
+	l.MergeEndpointLimits(start, []quota.EndpointLimit{{Endpoint: limited, Advertised: true, PerSecond: 2}})
 	assert.False(t, l.Take(start, limited, 1).OK)
 	assert.True(t, l.Take(start, other, 1).OK)
-	l.SetEntries(2)
+	l.SetFleetSize(2)
 	assert.True(t, l.Take(start, limited, 1).OK)
 }
--- a/quota/ways_test.go
+++ b/quota/ways_test.go
@@ -217,7 +217,7 @@
 		for j, to := range w.f.entries {
 			if i != j && reaches(i, j) {
 				to.MergeUse(now, from.name, quota.Incarnation{byte(from.incarnation)}, uses)
-				to.SetEntries(limiterEntries)
+				to.SetFleetSize(limiterEntries)
 			}
 		}
 	}
--- a/router/admit.go
+++ b/router/admit.go
@@ -88,14 +88,14 @@
 	if !ok {
 		return admission{}, false
 	}
-	a := admission{placement: p, permits: permits, work: g.r.loads.Begin(p.decode.ID, Load{Decodes: 1, KV: g.c.initialTokens()})}
+	a := admission{placement: p, permits: permits, work: g.r.loads.Begin(p.decode.ID, Load{Decodes: 1, KVTokens: g.c.initialTokens()})}
 	if p.warm || p.fill < reserveThreshold {
 		return a, true
 	}
 	stage, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	var err error
-	a.reservation, err = g.r.endpoints.Reserve(stage, p.decode, g.c, Ask{Tokens: g.c.initialTokens(), Hold: g.holdTime(p)})
+	a.reservation, err = g.r.endpoints.Reserve(stage, p.decode, g.c, ReserveRequest{Tokens: g.c.initialTokens(), Hold: g.holdTime(p)})
 	if err == nil {
 		return a, true
 	}
@@ -123,14 +123,14 @@
 func (g *generationRun) expectedFull(e *Endpoint) time.Duration {
 	m := g.r.loads.Engines(g.c.Service)
 	streams := max(g.r.loads.View(time.Now(), e.ID).Decodes, 1)
-	return max(time.Duration(fullRetryFraction*float64(m.Life(g.c.Wait)))/time.Duration(streams), roomPollInterval)
+	return max(time.Duration(fullRetryFraction*float64(m.AnswerDuration(g.c.Timeout)))/time.Duration(streams), roomPollInterval)
 }
 
 // holdTime returns how long memory is reserved for a placement.
 func (g *generationRun) holdTime(p placement) time.Duration {
-	d := reserveHoldFactor * (p.firstEvent.High() + networkAllowance)
-	if eng := g.c.Service.Engine; eng != nil && eng.HoldMost > 0 {
-		d = min(d, eng.HoldMost)
+	d := reserveHoldFactor * (p.firstEvent.UpperBound() + networkAllowance)
+	if eng := g.c.Service.Engine; eng != nil && eng.MaxHold > 0 {
+		d = min(d, eng.MaxHold)
 	}
 	return d
 }
@@ -158,8 +158,8 @@
 // tryPlace makes one attempt to place the generation. An error refuses it.
 func (g *generationRun) tryPlace(now, began time.Time) (placement, bool, error) {
 	g.expireKept(now)
-	if eng := g.c.Service.Engine; eng != nil && g.c.Prompt > eng.KVTokens {
-		return placement{}, false, errNoEndpoint.New("the prompt of %d tokens exceeds an engine's memory", g.c.Prompt)
+	if eng := g.c.Service.Engine; eng != nil && g.c.PromptTokens > eng.KVCapacity {
+		return placement{}, false, errNoEndpoint.New("the prompt of %d tokens exceeds an engine's memory", g.c.PromptTokens)
 	}
 	rule := g.policy.rule(now, began)
 	if g.kept != nil {
@@ -171,7 +171,7 @@
 		rule.refuse = rule.refuse || !g.policy.retried && now.Sub(began) >= minWait
 	}
 	if ok {
-		g.r.log.Emit(event.Placed, zap.String("request", g.c.ID), zap.String("prefill", p.prefillID()),
+		g.r.log.Emit(event.GenerationPlaced, zap.String("request", g.c.ID), zap.String("prefill", p.prefillID()),
 			zap.String("decode", p.decode.ID), zap.Duration("waited", now.Sub(began)), zap.Duration("first", p.firstEvent.Mean), zap.Duration("spread", p.firstEvent.Spread),
 			zap.Float64("fill", p.fill), zap.Bool("warm", p.warm), zap.Bool("kept", g.kept != nil))
 		return p, true, nil
--- a/router/answer.go
+++ b/router/answer.go
@@ -15,23 +15,23 @@
 	// ErrUnreachable is an ErrNotRun from an endpoint that accepted no connection, so that
 	// nothing was sent.
 	ErrUnreachable = ErrNotRun.NewSubtype("unreachable")
-	// ErrAbsent is an ErrUnreachable from an address where nothing listens.
-	ErrAbsent = ErrUnreachable.NewSubtype("absent")
-	// ErrMoved is an ErrNotRun from another endpoint that now has this address.
-	ErrMoved = ErrNotRun.NewSubtype("moved")
+	// ErrNotListening is an ErrUnreachable from an address where nothing listens.
+	ErrNotListening = ErrUnreachable.NewSubtype("absent")
+	// ErrReplaced is an ErrNotRun from another endpoint that now has this address.
+	ErrReplaced = ErrNotRun.NewSubtype("moved")
 	// ErrLost is returned if a request may have run but its answer is missing or
 	// incomplete.
 	ErrLost = routerErrors.NewType("lost")
 	// ErrBroken is an ErrLost whose connection ended before the answer was complete.
 	ErrBroken = ErrLost.NewSubtype("broken")
-	// ErrWaited is an ErrNotRun of a request that queued at an endpoint for the maximum
+	// ErrQueueTimeout is an ErrNotRun of a request that queued at an endpoint for the maximum
 	// time. Trying another endpoint cannot help.
-	ErrWaited = ErrNotRun.NewSubtype("waited")
+	ErrQueueTimeout = ErrNotRun.NewSubtype("waited")
 	// ErrExpired is an ErrLost from an endpoint that dropped the work because it received
 	// no heartbeat from this process. It does not indicate an outage of the endpoint.
 	ErrExpired = ErrLost.NewSubtype("expired")
-	// ErrCaller is returned by a Sink whose caller has disconnected.
-	ErrCaller = routerErrors.NewType("caller")
+	// ErrCallerGone is returned by a Sink whose caller has disconnected.
+	ErrCallerGone = routerErrors.NewType("caller")
 )
 
 // retryAfter is the error property that holds an endpoint's suggested retry delay.
@@ -65,13 +65,13 @@
 	Body any
 }
 
-// Why is the reason why a request was given up.
-type Why uint8
+// FailureReason is the reason why a request was given up.
+type FailureReason uint8
 
 // Reasons why a request was given up.
 const (
 	// NotRun: nothing ran and nothing will; the request may be repeated safely.
-	NotRun Why = iota + 1
+	NotRun FailureReason = iota + 1
 	// Unknown: it may have run.
 	Unknown
 	// TimedOut: the deadline passed; it may have run.
@@ -83,7 +83,7 @@
 )
 
 // String returns the name of the reason in logs.
-func (w Why) String() string {
+func (w FailureReason) String() string {
 	switch w {
 	case NotRun:
 		return "not-run"
@@ -101,15 +101,15 @@
 
 // Failure is the final answer to a request that was given up.
 type Failure struct {
-	Why Why
-	// Retry is when the caller may retry; zero if unspecified.
-	Retry time.Duration
+	Reason FailureReason
+	// RetryAfter is when the caller may retry; zero if unspecified.
+	RetryAfter time.Duration
 	// Cause is the underlying error, for the log.
 	Cause error
 }
 
-// Result is the KV cache of a prompt, held by the engine that computed it.
-type Result struct {
+// PrefillResult is the KV cache of a prompt, held by the engine that computed it.
+type PrefillResult struct {
 	Endpoint *Endpoint
 	// Handle is the engine's handle of the result, opaque to this package.
 	Handle any
@@ -124,8 +124,8 @@
 	Handle any
 }
 
-// Ask describes a reservation to be made.
-type Ask struct {
+// ReserveRequest describes a reservation to be made.
+type ReserveRequest struct {
 	// Tokens is the memory to reserve, in tokens.
 	Tokens int
 	// Hold is how long the memory is reserved before the request must arrive.
@@ -135,22 +135,22 @@
 // Start describes the state from which a generation starts.
 type Start struct {
 	// Result is the prefill result, or nil if the endpoint prefills the prompt itself.
-	Result *Result
+	Result *PrefillResult
 	// Reservation is the reserved memory, or nil if none was reserved.
 	Reservation *Reservation
-	// After is the number of the last event that the caller has, or NoNumber.
+	// After is the number of the last event that the caller has, or NoEvent.
 	After int64
 	// Connected, if set, must be called once the connection to the endpoint is
 	// established, before anything is sent.
 	Connected func()
 }
 
-// NoNumber stands for the absence of an event number.
-const NoNumber int64 = -1
+// NoEvent stands for the absence of an event number.
+const NoEvent int64 = -1
 
 // Event is one event of a generation.
 type Event struct {
-	// Number identifies the event for a resume. Numbers increase. It may be NoNumber.
+	// Number identifies the event for a resume. Numbers increase. It may be NoEvent.
 	Number int64
 	// Bytes is the event as it is delivered to the caller.
 	Bytes []byte
@@ -170,32 +170,32 @@
 	Close()
 }
 
-// Endpoints is the client side of the endpoints. Its methods return ErrNotRun, ErrLost or
+// EndpointClient is the client side of the endpoints. Its methods return ErrNotRun, ErrLost or
 // the context's error.
-type Endpoints interface {
+type EndpointClient interface {
 	// Call executes a plain call.
 	Call(ctx context.Context, e *Endpoint, c *Call) (*Answer, error)
 	// Reserve reserves memory for a call.
-	Reserve(ctx context.Context, e *Endpoint, c *Call, ask Ask) (*Reservation, error)
+	Reserve(ctx context.Context, e *Endpoint, c *Call, ask ReserveRequest) (*Reservation, error)
 	// Release releases an unused reservation. It does not block.
 	Release(r *Reservation)
 	// Prefill computes the KV cache of the call's prompt and keeps the result.
-	Prefill(ctx context.Context, e *Endpoint, c *Call) (*Result, error)
+	Prefill(ctx context.Context, e *Endpoint, c *Call) (*PrefillResult, error)
 	// Drop frees a result that will not be used. It does not block.
-	Drop(r *Result)
+	Drop(r *PrefillResult)
 	// Cached returns the sessions whose prompts an engine has in its cache; see
 	// Call.Session.
 	Cached(ctx context.Context, e *Endpoint) (map[string]bool, error)
-	// Alive probes an endpoint. It returns nil if the endpoint is healthy, and ErrAbsent
-	// or ErrMoved if it no longer runs.
-	Alive(ctx context.Context, e *Endpoint) error
+	// Probe probes an endpoint. It returns nil if the endpoint is healthy, and ErrNotListening
+	// or ErrReplaced if it no longer runs.
+	Probe(ctx context.Context, e *Endpoint) error
 	// Order tells an engine to switch its stage. The fence is a fencing number.
 	Order(ctx context.Context, e *Endpoint, to Role, fence uint64) error
 	// Generate starts a generation and returns when its head has arrived.
 	Generate(ctx context.Context, e *Endpoint, c *Call, s Start) (Stream, error)
 }
 
-// Sink receives the answer to a generation for the caller. Its methods return ErrCaller
+// Sink receives the answer to a generation for the caller. Its methods return ErrCallerGone
 // when the caller has disconnected.
 type Sink interface {
 	// Begin delivers the head. It is called once.
--- a/router/balance.go
+++ b/router/balance.go
@@ -88,11 +88,11 @@
 }
 
 // load converts demand into the number of engines needed.
-func (d Demand) load(m *estimate.Engines, eng *Engine) stageLoad {
-	memory := d.Tokens + d.Calls*float64(m.Tokens())/2 // answers grow from nothing to full length
+func (d Demand) load(m *estimate.EngineModel, eng *Engine) stageLoad {
+	memory := d.Tokens + d.Calls*float64(m.MeanTokens())/2 // answers grow from nothing to full length
 	return stageLoad{
-		prefill: d.Tokens * m.TokenTime().Seconds(),
-		decode:  memory * m.Life(priorTimeout).Seconds() / float64(max(eng.KVTokens, 1)),
+		prefill: d.Tokens * m.PrefillTimePerToken().Seconds(),
+		decode:  memory * m.AnswerDuration(priorTimeout).Seconds() / float64(max(eng.KVCapacity, 1)),
 	}
 }
 
@@ -138,7 +138,7 @@
 }
 
 // RecordArrival records an incoming generation as demand.
-func (l *Loads) RecordArrival(now time.Time, s *Service, c *Call) {
+func (l *LoadTracker) RecordArrival(now time.Time, s *Service, c *Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.arrivals[s.Name]
@@ -146,11 +146,11 @@
 		a = new(demandRate)
 		l.arrivals[s.Name] = a
 	}
-	a.add(now, Demand{Calls: 1, Tokens: float64(c.Prompt)})
+	a.add(now, Demand{Calls: 1, Tokens: float64(c.PromptTokens)})
 }
 
 // OwnDemand returns the demand that reaches this process, by service.
-func (l *Loads) OwnDemand(now time.Time) map[string]Demand {
+func (l *LoadTracker) OwnDemand(now time.Time) map[string]Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make(map[string]Demand, len(l.arrivals))
@@ -162,7 +162,7 @@
 
 // demand returns the demand that reaches all processes, and how long this process has
 // observed any.
-func (l *Loads) demand(now time.Time, service string) (sum Demand, seen time.Duration) {
+func (l *LoadTracker) demand(now time.Time, service string) (sum Demand, seen time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if a := l.arrivals[service]; a != nil {
--- a/router/budget_test.go
+++ b/router/budget_test.go
@@ -55,7 +55,7 @@
 			defer mu.Unlock()
 			prefills++
 			switch {
-			case c.Hint > 0 || prefills%3 == 0:
+			case c.LengthHint > 0 || prefills%3 == 0:
 				sent("prefill", true, c.ID)
 				return nil
 			case prefills%3 == 1:
@@ -69,7 +69,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			sent("generate", false, c.ID)
-			if c.Hint > 0 {
+			if c.LengthHint > 0 {
 				return router.ErrLost.New("lost")
 			}
 			return router.ErrNotRun.New("full")
@@ -84,11 +84,11 @@
 		var all [entries]*router.Router
 		for i := range all {
 			all[i] = start(false)
-			all[i].SetEntries(1) // it has heard of no other entry yet
+			all[i].SetFleetSize(1) // it has heard of no other entry yet
 		}
 		time.Sleep(window)
 		for _, r := range all {
-			r.SetEntries(entries)
+			r.SetFleetSize(entries)
 		}
 		end := time.Now().Add(40 * time.Second)
 		for n := 0; time.Now().Before(end); n++ {
@@ -99,12 +99,12 @@
 					all[k] = start(true)
 				}
 			case n%10 == 0:
-				all[i].SetEntries(1 + n/10%entries) // the entries disagree on their number
+				all[i].SetFleetSize(1 + n/10%entries) // the entries disagree on their number
 			}
 			time.Sleep(20 * time.Millisecond)
 			c := newCall(resumableRoute, llm)
 			c.ID = strconv.Itoa(n)
-			c.Hint = n % 3 // calls with a hint have their prefill accepted, then lose the generation
+			c.LengthHint = n % 3 // calls with a hint have their prefill accepted, then lose the generation
 			requests = append(requests, time.Now())
 			r := all[i]
 			go func() { _, _ = r.Generate(t.Context(), c, new(fakeSink)) }()
@@ -154,10 +154,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		const slack = 24
 		r, sent := refusedEverywhere(slack, false)
-		r.SetEntries(2)
+		r.SetFleetSize(2)
 		assert.Zero(t, sent(t), "no slack before all entries have been heard from")
 		time.Sleep(slackWindow)
-		r.SetEntries(4)
+		r.SetFleetSize(4)
 		assert.Equal(t, slack/4, sent(t))
 	})
 }
@@ -174,7 +174,7 @@
 		assert.Zero(t, cutOff(t))
 		assert.Equal(t, slack, alone(t), "configured as the sole entry")
 		time.Sleep(slackWindow)
-		r.SetEntries(3) // an entry that was not configured here appears
+		r.SetFleetSize(3) // an entry that was not configured here appears
 		assert.Equal(t, slack/3, alone(t))
 	})
 }
@@ -186,7 +186,7 @@
 // sends generations which every engine refuses and returns the number of repeats.
 func refusedEverywhere(slack int, alone bool) (*router.Router, func(t *testing.T) int) {
 	f := &fakeEndpoints{generate: func(*router.Endpoint, router.Start) error { return router.ErrNotRun.New("full") }}
-	r := router.New(router.Settings{RetryWindow: slackWindow, RetrySlack: float64(slack), Alone: alone}, f, event.Nop(), metrics.NewSet())
+	r := router.New(router.Settings{RetryWindow: slackWindow, RetrySlack: float64(slack), SingleEntry: alone}, f, event.Nop(), metrics.NewSet())
 	list := []*router.Endpoint{engine("d1", router.Decode), engine("d2", router.Decode)}
 	r.SetDirectory(router.NewDirectory(1, 0, nil, []*router.Service{llm}, list))
 	return r, func(t *testing.T) int {
@@ -209,7 +209,7 @@
 	for slack, want := range map[int]int{1: 1, 2: 2, 3: 2, 4: 3} {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fakeEndpoints{generate: func(*router.Endpoint, router.Start) error { return router.ErrLost.New("reset") }}
-			r := router.New(router.Settings{RetryWindow: slackWindow, RetrySlack: float64(slack), Alone: true}, f, event.Nop(), metrics.NewSet())
+			r := router.New(router.Settings{RetryWindow: slackWindow, RetrySlack: float64(slack), SingleEntry: true}, f, event.Nop(), metrics.NewSet())
 			list := []*router.Endpoint{engine("d1", router.Decode), engine("d2", router.Decode), engine("d3", router.Decode), engine("d4", router.Decode)}
 			for _, id := range []string{"p1", "p2", "p3", "p4"} {
 				list = append(list, engine(id, router.Prefill))
--- a/router/cached.go
+++ b/router/cached.go
@@ -84,7 +84,7 @@
 // enginesByHash returns the engines to ask for a call's prompt, in rendezvous order.
 func (r *Router) enginesByHash(c *Call) []*Endpoint {
 	all := r.Directory().Endpoints(c.Service.Name, Decode)
-	order := rendezvousOrder(c.Content, len(all), func(i int) string { return all[i].ID })
+	order := rendezvousOrder(c.ContentHash, len(all), func(i int) string { return all[i].ID })
 	engines := make([]*Endpoint, 0, maxCacheLookups)
 	for _, i := range order[:min(len(order), maxCacheLookups)] {
 		engines = append(engines, all[i])
@@ -159,7 +159,7 @@
 	defer cancel()
 	sessions, err := r.endpoints.Cached(ctx, e)
 	if err != nil {
-		r.log.Emit(event.CacheUnknown, zap.String("endpoint", e.ID), event.Err(err))
+		r.log.Emit(event.CacheStateUnknown, zap.String("endpoint", e.ID), event.Err(err))
 		return
 	}
 	list.sessions = sessions
--- a/router/delivery.go
+++ b/router/delivery.go
@@ -53,7 +53,7 @@
 		return d.err
 	}
 	if ctx.Err() != nil {
-		return ErrCaller.Wrap(ctx.Err(), "deliver")
+		return ErrCallerGone.Wrap(ctx.Err(), "deliver")
 	}
 	d.queue = append(d.queue, ev)
 	d.buffered += len(ev.Bytes)
--- a/router/delivery_test.go
+++ b/router/delivery_test.go
@@ -50,11 +50,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{events: 60, pause: 50 * time.Millisecond}
 		r := newRouter(f, engine("p", router.Prefill), engine("d", router.Decode))
-		s := &slowSink{delay: time.Second, err: router.ErrCaller.New("gone")}
+		s := &slowSink{delay: time.Second, err: router.ErrCallerGone.New("gone")}
 		began := time.Now()
 		_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), s)
 		if assert.NotNil(t, fail) {
-			assert.Equal(t, router.CallerGone, fail.Why)
+			assert.Equal(t, router.CallerGone, fail.Reason)
 		}
 		assert.Less(t, time.Since(began), 2*time.Second)
 		assert.Equal(t, 1, count(f.recorded(), "generate"))
--- a/router/directory.go
+++ b/router/directory.go
@@ -64,8 +64,8 @@
 	return &out
 }
 
-// Keyed reports whether callers need a workspace key.
-func (d *Directory) Keyed() bool { return d.workspaces != nil }
+// RequiresKey reports whether callers need a workspace key.
+func (d *Directory) RequiresKey() bool { return d.workspaces != nil }
 
 // Workspace returns the workspace that a key belongs to, or nil.
 func (d *Directory) Workspace(key KeyDigest) *Workspace { return d.workspaces[key] }
@@ -84,8 +84,8 @@
 	return &out
 }
 
-// Complete reports whether each service has an endpoint that can answer requests.
-func (d *Directory) Complete() bool {
+// AllServicesServed reports whether each service has an endpoint that can answer requests.
+func (d *Directory) AllServicesServed() bool {
 	for name, s := range d.services {
 		role := Plain
 		if s.Engine != nil {
@@ -190,8 +190,8 @@
 	return list
 }
 
-// Size returns the number of endpoints that accept new work.
-func (d *Directory) Size() (n int) {
+// EndpointCount returns the number of endpoints that accept new work.
+func (d *Directory) EndpointCount() (n int) {
 	for _, list := range d.endpoints {
 		n += len(list)
 	}
--- a/router/fake_test.go
+++ b/router/fake_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-func (f *fakeEndpoints) Reserve(_ context.Context, e *router.Endpoint, _ *router.Call, _ router.Ask) (*router.Reservation, error) {
+func (f *fakeEndpoints) Reserve(_ context.Context, e *router.Endpoint, _ *router.Call, _ router.ReserveRequest) (*router.Reservation, error) {
 	if f.reserve != nil {
 		if err := f.reserve(e); err != nil {
 			return nil, err
@@ -85,7 +85,7 @@
 
 func (f *fakeEndpoints) Release(r *router.Reservation) { f.record("release %s", r.Endpoint.ID) }
 
-func (f *fakeEndpoints) Prefill(ctx context.Context, e *router.Endpoint, c *router.Call) (*router.Result, error) {
+func (f *fakeEndpoints) Prefill(ctx context.Context, e *router.Endpoint, c *router.Call) (*router.PrefillResult, error) {
 	f.record("prefill %s", e.ID)
 	if f.prefillCall != nil {
 		if err := f.prefillCall(ctx, c); err != nil {
@@ -98,14 +98,14 @@
 		}
 	}
 	select {
-	case <-time.After(time.Duration(c.Prompt/50) * time.Millisecond):
+	case <-time.After(time.Duration(c.PromptTokens/50) * time.Millisecond):
 	case <-ctx.Done():
 		return nil, router.ErrLost.Wrap(ctx.Err(), "prefill")
 	}
-	return &router.Result{Endpoint: e, Expiry: time.Now().Add(500 * time.Millisecond)}, nil
+	return &router.PrefillResult{Endpoint: e, Expiry: time.Now().Add(500 * time.Millisecond)}, nil
 }
 
-func (f *fakeEndpoints) Drop(r *router.Result) { f.record("drop %s", r.Endpoint.ID) }
+func (f *fakeEndpoints) Drop(r *router.PrefillResult) { f.record("drop %s", r.Endpoint.ID) }
 
 func (f *fakeEndpoints) Cached(_ context.Context, e *router.Endpoint) (map[string]bool, error) {
 	f.record("cached %s", e.ID)
@@ -119,7 +119,7 @@
 	return held, nil
 }
 
-func (f *fakeEndpoints) Alive(ctx context.Context, e *router.Endpoint) error {
+func (f *fakeEndpoints) Probe(ctx context.Context, e *router.Endpoint) error {
 	f.record("alive %s", e.ID)
 	if f.alive != nil {
 		return f.alive(ctx, e)
@@ -214,7 +214,7 @@
 	return s.fail
 }
 
-var llm = &router.Service{Name: "llm", Engine: &router.Engine{Slots: 128, KVTokens: 60000, Stride: 11, ResultLife: 500 * time.Millisecond, PromptSlowdown: 2}}
+var llm = &router.Service{Name: "llm", Engine: &router.Engine{Slots: 128, KVCapacity: 60000, Stride: 11, ResultTTL: 500 * time.Millisecond, LocalPrefillSlowdown: 2}}
 var app = &router.Service{Name: "app"}
 
 func engine(id string, role router.Role) *router.Endpoint {
@@ -236,35 +236,35 @@
 }
 
 // newRouterOf is newRouter for other implementations of Endpoints.
-func newRouterOf(f router.Endpoints, endpoints ...*router.Endpoint) *router.Router {
-	r := router.New(router.Settings{DataCentre: "dc-1", RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: ownSlack, Alone: true}, f, event.Nop(), metrics.NewSet())
+func newRouterOf(f router.EndpointClient, endpoints ...*router.Endpoint) *router.Router {
+	r := router.New(router.Settings{DataCentre: "dc-1", RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: ownSlack, SingleEntry: true}, f, event.Nop(), metrics.NewSet())
 	r.SetDirectory(router.NewDirectory(1, 0, nil, []*router.Service{llm, app}, endpoints))
 	return r
 }
 
 func newCall(route router.Route, s *router.Service) *router.Call {
 	now := time.Now()
-	c := &router.Call{ID: "1", Route: &route, Service: s, Began: now, Deadline: now.Add(14 * time.Second), Wait: 14 * time.Second, Resume: router.NoNumber}
+	c := &router.Call{ID: "1", Route: &route, Service: s, ReceivedAt: now, Deadline: now.Add(14 * time.Second), Timeout: 14 * time.Second, ResumeAfter: router.NoEvent}
 	if s == llm {
-		c.Prompt, c.Output, c.Session = 5000, 1870, "s1"
+		c.PromptTokens, c.MaxOutputTokens, c.Session = 5000, 1870, "s1"
 	}
 	return c
 }
 
 var (
-	idempotentRoute    = router.Route{Name: "lookup", Kind: router.Idempotent, MaxAttempts: 2, Target: 300 * time.Millisecond}
-	nonIdempotentRoute = router.Route{Name: "booking", Kind: router.NonIdempotent, MaxAttempts: 1, Target: 300 * time.Millisecond}
-	resumableRoute     = router.Route{Name: "draft", Kind: router.Generation, MaxAttempts: 2, Resumable: true, Target: 900 * time.Millisecond, Patience: 3600 * time.Millisecond}
-	nonResumableRoute  = router.Route{Name: "letter", Kind: router.Generation, MaxAttempts: 1, Target: 900 * time.Millisecond, Patience: 3600 * time.Millisecond}
+	idempotentRoute    = router.Route{Name: "lookup", Kind: router.Idempotent, MaxAttempts: 2, LatencyTarget: 300 * time.Millisecond}
+	nonIdempotentRoute = router.Route{Name: "booking", Kind: router.NonIdempotent, MaxAttempts: 1, LatencyTarget: 300 * time.Millisecond}
+	resumableRoute     = router.Route{Name: "draft", Kind: router.Generation, MaxAttempts: 2, Resumable: true, LatencyTarget: 900 * time.Millisecond, SilenceTimeout: 3600 * time.Millisecond}
+	nonResumableRoute  = router.Route{Name: "letter", Kind: router.Generation, MaxAttempts: 1, LatencyTarget: 900 * time.Millisecond, SilenceTimeout: 3600 * time.Millisecond}
 )
 
 // refusedAtOnce requires a refusal without delay that suggests a retry time.
-func refusedAtOnce(t *testing.T, why router.Why, send func() *router.Failure) {
+func refusedAtOnce(t *testing.T, why router.FailureReason, send func() *router.Failure) {
 	t.Helper()
 	began := time.Now()
 	fail := send()
 	require.NotNil(t, fail)
-	assert.Equal(t, why, fail.Why)
-	assert.Positive(t, fail.Retry)
+	assert.Equal(t, why, fail.Reason)
+	assert.Positive(t, fail.RetryAfter)
 	assert.Zero(t, time.Since(began))
 }
--- a/router/gated.go
+++ b/router/gated.go
@@ -71,7 +71,7 @@
 	g.tried[e.ID] = true
 	began := time.Now()
 	a := admission{placement: placement{decode: e}, work: r.loads.Begin(e.ID, Load{Decodes: 1})}
-	a.reservation, err = r.endpoints.Reserve(ctx, e, c, Ask{Tokens: c.initialTokens()})
+	a.reservation, err = r.endpoints.Reserve(ctx, e, c, ReserveRequest{Tokens: c.initialTokens()})
 	if err != nil {
 		a.work.End()
 		return admission{}, err
@@ -86,7 +86,7 @@
 		g.release(a.reservation)
 		return admission{}, err
 	}
-	r.log.Emit(event.Placed, zap.String("request", c.ID), zap.String("prefill", a.prefillID()),
+	r.log.Emit(event.GenerationPlaced, zap.String("request", c.ID), zap.String("prefill", a.prefillID()),
 		zap.String("decode", e.ID), zap.Duration("waited", time.Since(began)), zap.Bool("kept", g.kept != nil))
 	return a, nil
 }
@@ -102,19 +102,19 @@
 		g.expiries++
 		return true
 	}
-	return g.r.budget(g.c.Service.Name).Retry(time.Now())
+	return g.r.budget(g.c.Service.Name).TakeRetry(time.Now())
 }
 
 // mayRetryAtAgent reports whether another attempt at a plain call is safe and worthwhile
 // in fleets with agents. Attempts that did not run cost the endpoint next to nothing.
 func (p *plainRun) mayRetryAtAgent(ctx context.Context, err error) bool {
 	switch {
-	case ctx.Err() != nil || errorx.IsOfType(err, ErrWaited):
+	case ctx.Err() != nil || errorx.IsOfType(err, ErrQueueTimeout):
 		return false
 	case err == nil || !errorx.IsOfType(err, ErrNotRun):
-		return p.r.budget(p.c.Service.Name).Retry(time.Now())
+		return p.r.budget(p.c.Service.Name).TakeRetry(time.Now())
 	case p.c.Keyed:
-		soon := time.Since(p.c.Began) < min(keyOwnerTimeout, p.c.MaxWait)
+		soon := time.Since(p.c.ReceivedAt) < min(keyOwnerTimeout, p.c.MaxQueueTime)
 		return soon && ebonypulley.Sleep(ctx, keyOwnerPollInterval)
 	default:
 		return p.sent < maxRefusals
--- a/router/gated_test.go
+++ b/router/gated_test.go
@@ -45,14 +45,14 @@
 // budget: one retry.
 func newAgentRouter(f *fakeEndpoints, endpoints ...*router.Endpoint) *router.Router {
 	f.events, f.pause = 6, 50*time.Millisecond
-	return router.New(router.Settings{RetryWindow: time.Minute, RetrySlack: 1, Alone: true, Chooser: &fakeChooser{endpoints: endpoints}},
+	return router.New(router.Settings{RetryWindow: time.Minute, RetrySlack: 1, SingleEntry: true, Chooser: &fakeChooser{endpoints: endpoints}},
 		f, event.Nop(), metrics.NewSet())
 }
 
 func agentCall(route router.Route, s *router.Service) *router.Call {
 	route.MaxAttempts = 0
 	c := newCall(route, s)
-	c.MaxWait = 8 * time.Second
+	c.MaxQueueTime = 8 * time.Second
 	return c
 }
 
@@ -74,7 +74,7 @@
 			f := &fakeEndpoints{generate: func(*router.Endpoint, router.Start) error { return tt.err }}
 			_, fail := newAgentRouter(f, agentEndpoints...).Generate(t.Context(), agentCall(resumableRoute, llm), new(fakeSink))
 			require.NotNil(t, fail)
-			assert.Equal(t, router.Unknown, fail.Why)
+			assert.Equal(t, router.Unknown, fail.Reason)
 			assert.Equal(t, tt.runs, count(f.recorded(), "generate"))
 		})
 	}
@@ -104,7 +104,7 @@
 		for range generations {
 			_, fail := r.Generate(t.Context(), agentCall(resumableRoute, llm), new(fakeSink))
 			require.NotNil(t, fail)
-			assert.Equal(t, router.NotRun, fail.Why, "nothing was generated")
+			assert.Equal(t, router.NotRun, fail.Reason, "nothing was generated")
 		}
 		assert.Equal(t, generations+1, count(f.recorded(), "prefill"))
 		assert.Equal(t, count(f.recorded(), "reserve"), count(f.recorded(), "release"), "no memory stays reserved")
@@ -116,12 +116,12 @@
 func TestMemoryBeforePrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{reserve: func(*router.Endpoint) error {
-			return router.WithRetryAfter(router.ErrWaited.New("waited"), 7*time.Second)
+			return router.WithRetryAfter(router.ErrQueueTimeout.New("waited"), 7*time.Second)
 		}}
 		_, fail := newAgentRouter(f, agentEndpoints...).Generate(t.Context(), agentCall(resumableRoute, llm), new(fakeSink))
 		require.NotNil(t, fail)
-		assert.Equal(t, router.NotRun, fail.Why)
-		assert.Equal(t, 7*time.Second, fail.Retry)
+		assert.Equal(t, router.NotRun, fail.Reason)
+		assert.Equal(t, 7*time.Second, fail.RetryAfter)
 		assert.Zero(t, count(f.recorded(), "prefill"))
 	})
 }
@@ -148,8 +148,8 @@
 				return
 			}
 			require.NotNil(t, fail)
-			assert.Equal(t, router.NotRun, fail.Why)
-			assert.Less(t, time.Since(c.Began), 6*time.Second)
+			assert.Equal(t, router.NotRun, fail.Reason)
+			assert.Less(t, time.Since(c.ReceivedAt), 6*time.Second)
 		})
 	}
 }
--- a/router/generate.go
+++ b/router/generate.go
@@ -47,7 +47,7 @@
 	// prepaid says that the budget was already charged for the next arrival.
 	prepaid bool
 	// kept is a prefill result that a decode endpoint refused.
-	kept *Result
+	kept *PrefillResult
 	// warm is the engine whose stream broke off although the engine still runs.
 	warm *Endpoint
 	// progress says that the last attempt delivered events.
@@ -81,14 +81,14 @@
 }
 
 func (r *Router) generate(ctx context.Context, c *Call, sink Sink) (*Answer, *Failure) {
-	g := &generationRun{r: r, c: c, sink: sink, tried: make(map[string]bool), limited: make(limitedUntil), lastEvent: c.Resume}
+	g := &generationRun{r: r, c: c, sink: sink, tried: make(map[string]bool), limited: make(limitedUntil), lastEvent: c.ResumeAfter}
 	g.policy = g.newAdmissionPolicy()
 	if !g.policy.retried && !g.policy.begun {
-		r.loads.RecordArrival(c.Began, c.Service, c) // retries were counted at their first attempt
+		r.loads.RecordArrival(c.ReceivedAt, c.Service, c) // retries were counted at their first attempt
 	}
-	r.budget(c.Service.Name).First(c.Began)
+	r.budget(c.Service.Name).RecordFirst(c.ReceivedAt)
 	defer g.dropKept()
-	if c.Resume != NoNumber {
+	if c.ResumeAfter != NoEvent {
 		g.warm = r.cachingEngine(ctx, c)
 	}
 	for {
@@ -110,7 +110,7 @@
 		if wasLost(err) {
 			r.metrics.Add("continued", 1)
 		}
-		r.log.Emit(event.GenerationAgain, zap.String("request", c.ID), c.ContentField(), zap.Bool("begun", g.begun), zap.Int64("after", g.lastEvent),
+		r.log.Emit(event.GenerationRetried, zap.String("request", c.ID), c.ContentField(), zap.Bool("begun", g.begun), zap.Int64("after", g.lastEvent),
 			zap.Int("runs", g.runs), zap.Int("refusals", g.refusals), event.Err(err))
 	}
 }
@@ -125,12 +125,12 @@
 
 // recordAnswered records a complete answer.
 func (g *generationRun) recordAnswered() {
-	g.r.crashes.Served(time.Now(), g.c.Content)
-	took := time.Since(g.c.Began)
+	g.r.crashes.RecordSuccess(time.Now(), g.c.ContentHash)
+	took := time.Since(g.c.ReceivedAt)
 	g.r.metrics.Histogram("whole." + g.c.class()).Record(took)
-	if g.runs == 1 && g.c.Resume == NoNumber && g.events > 1 {
+	if g.runs == 1 && g.c.ResumeAfter == NoEvent && g.events > 1 {
 		tokens, life := g.events*g.c.stride(), took-g.ttft
-		g.r.loads.Learn(g.c.Service, func(m *estimate.Engines) { m.Ended(tokens, life) })
+		g.r.loads.Learn(g.c.Service, func(m *estimate.EngineModel) { m.RecordAnswer(tokens, life) })
 	}
 	g.r.log.Emit(event.RequestAnswered, zap.String("request", g.c.ID), zap.String("route", g.c.Route.Name), zap.Duration("took", took),
 		zap.Duration("first", g.ttft), zap.Duration("longest_pause", g.longestGap), zap.Int("runs", g.runs))
@@ -143,15 +143,15 @@
 	if g.failedAnswer != nil && !g.begun {
 		return g.failedAnswer, nil
 	}
-	f := &Failure{Cause: err, Why: Unknown}
+	f := &Failure{Cause: err, Reason: Unknown}
 	switch {
-	case errors.Is(ctx.Err(), context.Canceled) || errorx.IsOfType(err, ErrCaller):
-		f.Why = CallerGone
+	case errors.Is(ctx.Err(), context.Canceled) || errorx.IsOfType(err, ErrCallerGone):
+		f.Reason = CallerGone
 	case g.runs == 0:
-		f.Why = NotRun
-		f.Retry = retryAdvice(err, g.retryDelay())
-	case g.c.Left(time.Now()) <= 0:
-		f.Why = TimedOut
+		f.Reason = NotRun
+		f.RetryAfter = retryAdvice(err, g.retryDelay())
+	case g.c.TimeLeft(time.Now()) <= 0:
+		f.Reason = TimedOut
 	}
 	return nil, f
 }
@@ -159,8 +159,8 @@
 // mayRetry decides whether another attempt may follow one that ended with err.
 func (g *generationRun) mayRetry(ctx context.Context, err error) bool {
 	now := time.Now()
-	if ctx.Err() != nil || g.c.Left(now) <= 0 || errorx.IsOfType(err, ErrCaller) ||
-		errorx.IsOfType(err, errPoison) || errorx.IsOfType(err, errNoEndpoint) || errorx.IsOfType(err, errBudget) || errorx.IsOfType(err, ErrWaited) {
+	if ctx.Err() != nil || g.c.TimeLeft(now) <= 0 || errorx.IsOfType(err, ErrCallerGone) ||
+		errorx.IsOfType(err, errPoison) || errorx.IsOfType(err, errNoEndpoint) || errorx.IsOfType(err, errBudget) || errorx.IsOfType(err, ErrQueueTimeout) {
 		return false
 	}
 	if g.progress {
@@ -224,7 +224,7 @@
 		g.prepaid = false
 		return true
 	}
-	return g.r.budget(g.c.Service.Name).Retry(time.Now())
+	return g.r.budget(g.c.Service.Name).TakeRetry(time.Now())
 }
 
 // prepayDecode charges the budget for the decode endpoint's arrival before its prompt is
@@ -238,7 +238,7 @@
 	if g.r.usesAgents() || !g.prefilled {
 		return true // the first accepted prefill is free, and its refund pays for this arrival
 	}
-	g.prepaid = g.prepaid || g.r.budget(g.c.Service.Name).Retry(time.Now())
+	g.prepaid = g.prepaid || g.r.budget(g.c.Service.Name).TakeRetry(time.Now())
 	return g.prepaid
 }
 
@@ -264,7 +264,7 @@
 func (g *generationRun) refundArrival() {
 	g.sent--
 	if g.sent > 0 && !g.r.usesAgents() {
-		g.r.budget(g.c.Service.Name).Give(time.Now())
+		g.r.budget(g.c.Service.Name).ReturnRetry(time.Now())
 	}
 }
 
--- a/router/generate_test.go
+++ b/router/generate_test.go
@@ -60,7 +60,7 @@
 		s := new(fakeSink)
 		_, fail := r.Generate(t.Context(), newCall(nonResumableRoute, llm), s)
 		require.NotNil(t, fail)
-		assert.Equal(t, router.Unknown, fail.Why)
+		assert.Equal(t, router.Unknown, fail.Reason)
 		assert.Equal(t, []int64{1, 2, 3}, s.got)
 		assert.Equal(t, 1, count(f.recorded(), "generate"))
 	})
@@ -98,13 +98,13 @@
 		r := newRouter(f, engine("p1", router.Prefill), engine("p2", router.Prefill), engine("d", router.Decode))
 		trainEstimates(r, 1)
 		s := new(fakeSink)
-		r.Loads().Begin("d", router.Load{Prefill: 20000})
+		r.Loads().Begin("d", router.Load{PrefillTokens: 20000})
 		c := newCall(resumableRoute, llm)
 		_, fail := r.Generate(t.Context(), c, s)
 		assert.Nil(t, fail)
 		assert.Equal(t, allEvents, s.got)
 		assert.Equal(t, 2, count(f.recorded(), "prefill"))
-		assert.Less(t, s.first.Sub(c.Began), 950*time.Millisecond)
+		assert.Less(t, s.first.Sub(c.ReceivedAt), 950*time.Millisecond)
 	})
 }
 
@@ -125,7 +125,7 @@
 		// prefilled remotely.
 		r := newRouter(f, engine("p", router.Prefill), engine("d1", router.Decode), engine("d2", router.Decode))
 		for _, id := range []string{"d1", "d2"} {
-			r.Loads().Begin(id, router.Load{Prefill: 20000})
+			r.Loads().Begin(id, router.Load{PrefillTokens: 20000})
 		}
 		s := new(fakeSink)
 		_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), s)
@@ -153,11 +153,11 @@
 				c := newCall(resumableRoute, llm)
 				_, fail := r.Generate(t.Context(), c, s)
 				if fail != nil {
-					assert.Equal(t, router.NotRun, fail.Why)
-					assert.Less(t, time.Since(c.Began), 900*time.Millisecond)
-					time.Sleep(fail.Retry)
+					assert.Equal(t, router.NotRun, fail.Reason)
+					assert.Less(t, time.Since(c.ReceivedAt), 900*time.Millisecond)
+					time.Sleep(fail.RetryAfter)
 					again := newCall(resumableRoute, llm)
-					again.Wait -= time.Since(c.Began)
+					again.Timeout -= time.Since(c.ReceivedAt)
 					s = new(fakeSink)
 					_, fail = r.Generate(t.Context(), again, s)
 					mu.Lock()
@@ -169,7 +169,7 @@
 				if fail == nil {
 					served++
 				}
-				if fail == nil && s.first.Sub(c.Began) < resumableRoute.Target {
+				if fail == nil && s.first.Sub(c.ReceivedAt) < resumableRoute.LatencyTarget {
 					onTime++
 				}
 			})
@@ -189,15 +189,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{}
 		r := newRouter(f, engine("d1", router.Decode), engine("d2", router.Decode))
-		r.Loads().Hear(time.Now(), "other", map[string]router.Load{"d1": {Decodes: 10, KV: 56000}}, nil)
+		r.Loads().SetPeerReport(time.Now(), "other", map[string]router.Load{"d1": {Decodes: 10, KVTokens: 56000}}, nil)
 		for range 5 {
 			_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), new(fakeSink))
 			assert.Nil(t, fail)
-			r.Loads().Hear(time.Now(), "other", map[string]router.Load{"d1": {Decodes: 10, KV: 56000}}, nil)
+			r.Loads().SetPeerReport(time.Now(), "other", map[string]router.Load{"d1": {Decodes: 10, KVTokens: 56000}}, nil)
 		}
 		assert.Zero(t, count(f.recorded(), "generate d1"))
 		time.Sleep(3 * time.Second)
-		r.Loads().Begin("d2", router.Load{Decodes: 10, KV: 56000})
+		r.Loads().Begin("d2", router.Load{Decodes: 10, KVTokens: 56000})
 		_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), new(fakeSink))
 		assert.Nil(t, fail, "an expired report does not count")
 	})
@@ -214,7 +214,7 @@
 		for range 8 {
 			wg.Go(func() {
 				c := newCall(resumableRoute, llm)
-				c.Resume = 2
+				c.ResumeAfter = 2
 				s := new(fakeSink)
 				_, fail := r.Generate(t.Context(), c, s)
 				assert.Nil(t, fail)
@@ -234,12 +234,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{}
 		r := newRouter(f, engine("p", router.Prefill), engine("d", router.Decode))
-		r.Loads().Begin("d", router.Load{Decodes: 7, KV: 40000, Prefill: 20000})
+		r.Loads().Begin("d", router.Load{Decodes: 7, KVTokens: 40000, PrefillTokens: 20000})
 		ctx, cancel := contextWithCancel(t)
 		time.AfterFunc(30*time.Millisecond, cancel)
 		_, fail := r.Generate(ctx, newCall(resumableRoute, llm), new(fakeSink))
 		require.NotNil(t, fail)
-		assert.Equal(t, router.CallerGone, fail.Why)
+		assert.Equal(t, router.CallerGone, fail.Reason)
 		assert.Equal(t, 1, count(f.recorded(), "reserve"))
 		assert.Equal(t, 1, count(f.recorded(), "release"))
 		assert.Zero(t, count(f.recorded(), "generate"))
@@ -254,7 +254,7 @@
 		p, d1, d2 := engine("p", router.Prefill), engine("d1", router.Decode), engine("d2", router.Decode)
 		r := newRouter(f, p, d1, d2)
 		for _, id := range []string{"d1", "d2"} {
-			r.Loads().Begin(id, router.Load{Prefill: 20000})
+			r.Loads().Begin(id, router.Load{PrefillTokens: 20000})
 		}
 		r.Loads().Begin("d2", router.Load{Decodes: 3})
 		f.prefill = func(context.Context, *router.Endpoint) error {
@@ -286,9 +286,9 @@
 			list = append(list, engine(id, router.Decode))
 		}
 		r := newRouter(f, list...)
-		r.SetEntries(1000) // no slack
+		r.SetFleetSize(1000) // no slack
 		for i, id := range ids {
-			r.Loads().Begin(id, router.Load{Decodes: 5 + i, KV: 36000})
+			r.Loads().Begin(id, router.Load{Decodes: 5 + i, KVTokens: 36000})
 		}
 		s := new(fakeSink)
 		_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), s)
@@ -305,9 +305,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{cached: map[string]string{"s1": "d2"}}
 		r := newRouter(f, engine("d1", router.Decode), engine("d2", router.Decode))
-		r.Loads().Begin("d2", router.Load{Decodes: 7, KV: 40000})
+		r.Loads().Begin("d2", router.Load{Decodes: 7, KVTokens: 40000})
 		c := newCall(resumableRoute, llm)
-		c.Resume = 2
+		c.ResumeAfter = 2
 		_, fail := r.Generate(t.Context(), c, new(fakeSink))
 		assert.Nil(t, fail)
 		assert.Equal(t, 1, count(f.recorded(), "generate d2"))
@@ -334,7 +334,7 @@
 		}
 		r := newRouter(f, engine("p1", router.Prefill), engine("p2", router.Prefill), engine("d1", router.Decode),
 			engine("d2", router.Decode), engine("d3", router.Decode), engine("d4", router.Decode), engine("d5", router.Decode))
-		r.SetBudget(0, 10*time.Second, 0)
+		r.SetRetryBudget(0, 10*time.Second, 0)
 		for range 10 {
 			_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), new(fakeSink))
 			assert.Nil(t, fail)
--- a/router/health.go
+++ b/router/health.go
@@ -66,7 +66,7 @@
 	h.slowdown = 1 + (h.slowdown-1)*keep
 }
 
-func (l *Loads) healthOf(now time.Time, endpoint string) *health {
+func (l *LoadTracker) healthOf(now time.Time, endpoint string) *health {
 	h := l.health[endpoint]
 	if h == nil {
 		h = &health{slowdown: 1, stepSlowdown: 1, updatedAt: now}
@@ -77,7 +77,7 @@
 }
 
 // RecordSuccess records a successful attempt.
-func (l *Loads) RecordSuccess(now time.Time, endpoint string) {
+func (l *LoadTracker) RecordSuccess(now time.Time, endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.healthOf(now, endpoint)
@@ -94,7 +94,7 @@
 
 // RecordFailure records an attempt that the endpoint answered with a failure, or whose
 // answer was partly lost.
-func (l *Loads) RecordFailure(now time.Time, endpoint string) {
+func (l *LoadTracker) RecordFailure(now time.Time, endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.healthOf(now, endpoint)
@@ -109,7 +109,7 @@
 //
 // An endpoint that crashed or hangs stays published for seconds, and without this each
 // new request would time out on it in turn.
-func (l *Loads) RecordUnresponsive(now time.Time, endpoint string) {
+func (l *LoadTracker) RecordUnresponsive(now time.Time, endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.healthOf(now, endpoint)
@@ -121,7 +121,7 @@
 
 // RecordGone records that nothing listens at the endpoint's address, or that another
 // endpoint does. It is avoided for as long as it may stay published.
-func (l *Loads) RecordGone(now time.Time, endpoint string) {
+func (l *LoadTracker) RecordGone(now time.Time, endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.healthOf(now, endpoint)
@@ -131,7 +131,7 @@
 
 // avoidFor records that this process itself found an endpoint unavailable. The caller
 // holds l.mu.
-func (l *Loads) avoidFor(now time.Time, h *health, duration time.Duration) {
+func (l *LoadTracker) avoidFor(now time.Time, h *health, duration time.Duration) {
 	h.unresponsiveAt = now
 	h.avoidUntil = now.Add(duration)
 	l.dirty = true
@@ -144,9 +144,9 @@
 	h.peerAvoidUntil = time.Time{}
 }
 
-// Avoided is a report about an endpoint that a process found unresponsive or gone, or
+// AvoidedEndpoint is a report about an endpoint that a process found unresponsive or gone, or
 // about one failed attempt there.
-type Avoided struct {
+type AvoidedEndpoint struct {
 	Endpoint string
 	// Age is the age of the observation. Left is how much longer the endpoint is avoided
 	// for it; zero for a failed attempt at an endpoint that responds.
@@ -156,24 +156,26 @@
 // Avoided returns the endpoints that this process itself found unresponsive, gone or
 // failing, the newest observation first. It does not relay reports of others, which could
 // otherwise circulate endlessly.
-func (l *Loads) Avoided(now time.Time) []Avoided {
+func (l *LoadTracker) Avoided(now time.Time) []AvoidedEndpoint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var list []Avoided
+	var list []AvoidedEndpoint
 	for id, h := range l.health {
 		if left := h.avoidUntil.Sub(now); left > 0 {
-			list = append(list, Avoided{Endpoint: id, Age: now.Sub(h.unresponsiveAt), Left: left})
+			list = append(list, AvoidedEndpoint{Endpoint: id, Age: now.Sub(h.unresponsiveAt), Left: left})
 		}
 		h.recentFailures = slices.DeleteFunc(h.recentFailures, func(at time.Time) bool { return now.Sub(at) > decayTime })
 		for _, at := range h.recentFailures {
-			list = append(list, Avoided{Endpoint: id, Age: now.Sub(at)})
+			list = append(list, AvoidedEndpoint{Endpoint: id, Age: now.Sub(at)})
 		}
 	}
-	slices.SortFunc(list, func(a, b Avoided) int { return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Endpoint, b.Endpoint)) })
+	slices.SortFunc(list, func(a, b AvoidedEndpoint) int {
+		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Endpoint, b.Endpoint))
+	})
 	return list[:min(len(list), maxAvoidedReported)]
 }
 
-// HearAvoided merges the reports of another process. It ignores reports of an
+// MergeAvoided merges the reports of another process. It ignores reports of an
 // unresponsive endpoint that are older than the last success here.
 //
 // It covers two failures: a third of the engines crash in the same second and stay
@@ -181,7 +183,7 @@
 // probes. Without reports each entry would discover each of these engines by itself, at
 // the cost of a late generation. With hundreds of entries, each meets a given engine only
 // twice a minute and its own record has decayed by then.
-func (l *Loads) HearAvoided(now time.Time, process string, list []Avoided) {
+func (l *LoadTracker) MergeAvoided(now time.Time, process string, list []AvoidedEndpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	failures := make(map[string]float64)
@@ -203,14 +205,14 @@
 
 // attemptsPerEndpoint estimates the recent attempts at each of the service's endpoints,
 // given their number.
-func (l *Loads) attemptsPerEndpoint(now time.Time, service string, endpoints int) float64 {
+func (l *LoadTracker) attemptsPerEndpoint(now time.Time, service string, endpoints int) float64 {
 	d, _ := l.demand(now, service)
 	return d.Calls * decayTime.Seconds() / float64(max(endpoints, 1))
 }
 
 // peerFailureRate returns the failure rate at an endpoint according to the other entries,
 // given an estimate of the attempts there.
-func (l *Loads) peerFailureRate(now time.Time, endpoint string, attempts float64) float64 {
+func (l *LoadTracker) peerFailureRate(now time.Time, endpoint string, attempts float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	failures := l.peers.failuresAt(now, endpoint)
@@ -219,7 +221,7 @@
 
 // RecordFull records that an endpoint has less free memory than estimated. It gets no
 // generations until one of those running there is expected to end.
-func (l *Loads) RecordFull(now time.Time, endpoint string, until time.Duration) {
+func (l *LoadTracker) RecordFull(now time.Time, endpoint string, until time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.healthOf(now, endpoint).fullUntil = now.Add(until)
@@ -227,7 +229,7 @@
 
 // RecordBackoff records that an endpoint asked this process to send nothing for this
 // long.
-func (l *Loads) RecordBackoff(now time.Time, endpoint string, lasting time.Duration) {
+func (l *LoadTracker) RecordBackoff(now time.Time, endpoint string, lasting time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.healthOf(now, endpoint)
@@ -237,7 +239,7 @@
 }
 
 // backoffLeft returns how much longer the endpoint accepts nothing from this process.
-func (l *Loads) backoffLeft(now time.Time, endpoint string) time.Duration {
+func (l *LoadTracker) backoffLeft(now time.Time, endpoint string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if h := l.health[endpoint]; h != nil {
@@ -248,7 +250,7 @@
 
 // Retain drops the records of endpoints that are no longer published, except those that
 // are still backing off.
-func (l *Loads) Retain(published func(endpoint string) bool) {
+func (l *LoadTracker) Retain(published func(endpoint string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id := range l.health {
--- a/router/late.go
+++ b/router/late.go
@@ -105,10 +105,10 @@
 // retryDelay returns when a refused caller may retry.
 func (g *generationRun) retryDelay() time.Duration {
 	m := g.r.loads.Engines(g.c.Service)
-	duration := m.Life(g.c.Wait)
+	duration := m.AnswerDuration(g.c.Timeout)
 	minDelay := time.Duration(minRetryAnswers * float64(duration))
 	spread := time.Duration(retrySpreadAnswers * float64(duration))
-	maxDelay := time.Duration(maxRetryFraction * float64(g.c.Wait))
+	maxDelay := time.Duration(maxRetryFraction * float64(g.c.Timeout))
 	if minDelay+spread > maxDelay {
 		minDelay, spread = max(maxDelay-spread, maxDelay/2), min(spread, maxDelay/2)
 	}
@@ -123,14 +123,14 @@
 func (g *generationRun) newAdmissionPolicy() admissionPolicy {
 	r, c := g.r, g.c
 	m := r.loads.Engines(c.Service)
-	ttft := m.Prompt(c.Prompt, c.Prompt, c.slo()).Plus(m.Handoff(false, c.slo())).Mean
-	spent := r.longestTimeout(c) - c.Wait
+	ttft := m.PrefillTime(c.PromptTokens, c.PromptTokens, c.slo()).Add(m.HandoffTime(false, c.slo())).Mean
+	spent := r.longestTimeout(c) - c.Timeout
 	return admissionPolicy{
-		placeBy:      c.Began.Add(c.Route.Target - spent - ttft),
-		dueAt:        c.Began.Add(c.Route.Target - spent),
-		unattainable: ttft > c.Route.Target,
+		placeBy:      c.ReceivedAt.Add(c.Route.LatencyTarget - spent - ttft),
+		dueAt:        c.ReceivedAt.Add(c.Route.LatencyTarget - spent),
+		unattainable: ttft > c.Route.LatencyTarget,
 		retried:      spent > retryThreshold,
-		begun:        c.Resume != NoNumber,
+		begun:        c.ResumeAfter != NoEvent,
 		lessUrgent:   !c.ranked() && r.Directory().HasMoreUrgent(c.Route, c.Service.Name),
 		maxWait:      max(g.silenceTimeout()-2*ttft, minWait),
 	}
@@ -141,7 +141,7 @@
 func (r *Router) longestTimeout(c *Call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	longest := max(r.longestTimeouts[c.Route.Name], c.Wait)
+	longest := max(r.longestTimeouts[c.Route.Name], c.Timeout)
 	r.longestTimeouts[c.Route.Name] = longest
 	return longest
 }
--- a/router/learn.go
+++ b/router/learn.go
@@ -12,27 +12,27 @@
 // service's engines; the code here also learns how each engine compares with the others.
 
 // engineModel returns the estimates for a service's engines. The caller holds l.mu.
-func (l *Loads) engineModel(s *Service) *estimate.Engines {
+func (l *LoadTracker) engineModel(s *Service) *estimate.EngineModel {
 	m := l.engineModels[s.Name]
 	if m == nil {
-		m = estimate.NewEngines()
+		m = estimate.NewEngineModel()
 		l.engineModels[s.Name] = m
 	}
 	if s.Engine != nil {
-		m.Slowdown = s.Engine.PromptSlowdown
+		m.Slowdown = s.Engine.LocalPrefillSlowdown
 	}
 	return m
 }
 
 // Engines returns a copy of the estimates for a service's engines.
-func (l *Loads) Engines(s *Service) estimate.Engines {
+func (l *LoadTracker) Engines(s *Service) estimate.EngineModel {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return *l.engineModel(s)
 }
 
 // Learn updates the estimates for a service's engines.
-func (l *Loads) Learn(s *Service, change func(m *estimate.Engines)) {
+func (l *LoadTracker) Learn(s *Service, change func(m *estimate.EngineModel)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(l.engineModel(s))
@@ -40,32 +40,32 @@
 
 // RecordPrefill records the duration of a prefill of this many tokens, including those
 // queued before it.
-func (l *Loads) RecordPrefill(now time.Time, e *Endpoint, s *Service, tokens int, took time.Duration) {
+func (l *LoadTracker) RecordPrefill(now time.Time, e *Endpoint, s *Service, tokens int, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.healthOf(now, e.ID)
 	h.failureRate *= 1 - failureWeight
 	h.recordSuccess(now)
 	m := l.engineModel(s)
-	m.Prompted(tokens, took)
-	h.updateSlowdown(float64(took), float64(m.Prompt(tokens, tokens, estimate.Promise{}).Mean))
+	m.RecordPrefill(tokens, took)
+	h.updateSlowdown(float64(took), float64(m.PrefillTime(tokens, tokens, estimate.SLO{}).Mean))
 }
 
 // RecordGap records a gap between two events of a stream, without prefill interference,
 // at an engine that runs this many streams.
-func (l *Loads) RecordGap(now time.Time, e *Endpoint, s *Service, streams int, gap time.Duration) {
+func (l *LoadTracker) RecordGap(now time.Time, e *Endpoint, s *Service, streams int, gap time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.engineModel(s)
-	m.Paused(streams, gap)
+	m.RecordGap(streams, gap)
 	h := l.healthOf(now, e.ID)
-	if usual := m.Pause(streams, estimate.Promise{}).Mean; usual > 0 {
+	if usual := m.EventGap(streams, estimate.SLO{}).Mean; usual > 0 {
 		h.stepSlowdown += (float64(gap)/float64(usual) - h.stepSlowdown) * gapWeight
 	}
 }
 
 // RecordCall records a successful plain call and its duration.
-func (l *Loads) RecordCall(now time.Time, e *Endpoint, took time.Duration) {
+func (l *LoadTracker) RecordCall(now time.Time, e *Endpoint, took time.Duration) {
 	l.RecordSuccess(now, e.ID)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,7 +76,7 @@
 
 // callModel returns the estimate of a service's call duration in nanoseconds. The caller
 // holds l.mu.
-func (l *Loads) callModel(service string) *estimate.Mean {
+func (l *LoadTracker) callModel(service string) *estimate.Mean {
 	m := l.callTimes[service]
 	if m == nil {
 		m = new(estimate.Mean)
@@ -86,12 +86,12 @@
 }
 
 // CallTime returns the expected duration of a service's plain calls.
-func (l *Loads) CallTime(service string, target time.Duration) estimate.Time {
+func (l *LoadTracker) CallTime(service string, target time.Duration) estimate.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.callModel(service)
 	prior := float64(target) * priorCallFraction
-	return estimate.Time{Mean: time.Duration(m.Mean(prior)), Spread: time.Duration(m.Spread(prior))}
+	return estimate.Duration{Mean: time.Duration(m.Mean(prior)), Spread: time.Duration(m.Spread(prior))}
 }
 
 // priorCallFraction is the fraction of its latency target that a plain call is assumed to
@@ -99,6 +99,6 @@
 const priorCallFraction = 0.25
 
 // slo returns the latency objectives of the call's route.
-func (c *Call) slo() estimate.Promise {
-	return estimate.Promise{Target: c.Route.Target, Gap: c.Route.Gap}
+func (c *Call) slo() estimate.SLO {
+	return estimate.SLO{Target: c.Route.LatencyTarget, MaxGap: c.Route.MaxGap}
 }
--- a/router/limit_test.go
+++ b/router/limit_test.go
@@ -23,9 +23,9 @@
 func testRetryAfterEndpointLimit(t *testing.T) {
 	list := []*router.Endpoint{engine("d1", router.Decode), engine("d2", router.Decode)}
 	r := newRouter(&fakeEndpoints{}, list...)
-	r.SetEntries(1)
+	r.SetFleetSize(1)
 	for _, e := range list {
-		r.Notice(e, router.Notice{Asked: time.Now(), Limit: router.RequestLimit{Named: true, PerSecond: 0.01}})
+		r.HandleNotice(e, router.Notice{SentAt: time.Now(), Limit: router.RequestLimit{Advertised: true, PerSecond: 0.01}})
 	}
 	var fail *router.Failure
 	for range 10 {
@@ -34,10 +34,10 @@
 		}
 	}
 	require.NotNil(t, fail)
-	assert.Equal(t, router.NotRun, fail.Why)
+	assert.Equal(t, router.NotRun, fail.Reason)
 	room := time.Hour
 	for _, e := range list {
 		room = min(room, r.Quotas().Take(time.Now(), quota.EndpointID(e.ID), 0).Wait)
 	}
-	assert.GreaterOrEqual(t, fail.Retry, room)
+	assert.GreaterOrEqual(t, fail.RetryAfter, room)
 }
--- a/router/load.go
+++ b/router/load.go
@@ -11,50 +11,50 @@
 type Load struct {
 	// Calls is the number of plain calls in progress.
 	Calls int
-	// Prefill is the number of prompt tokens queued or being computed.
-	Prefill int
+	// PrefillTokens is the number of prompt tokens queued or being computed.
+	PrefillTokens int
 	// Decodes is the number of generations in progress or about to start.
 	Decodes int
-	// KV is the number of KV cache tokens in use by those generations.
-	KV int
+	// KVTokens is the number of KV cache tokens in use by those generations.
+	KVTokens int
 }
 
 func (l Load) add(o Load) Load {
-	return Load{Calls: l.Calls + o.Calls, Prefill: l.Prefill + o.Prefill, Decodes: l.Decodes + o.Decodes, KV: l.KV + o.KV}
+	return Load{Calls: l.Calls + o.Calls, PrefillTokens: l.PrefillTokens + o.PrefillTokens, Decodes: l.Decodes + o.Decodes, KVTokens: l.KVTokens + o.KVTokens}
 }
 
 func (l Load) negated() Load {
-	return Load{Calls: -l.Calls, Prefill: -l.Prefill, Decodes: -l.Decodes, KV: -l.KV}
+	return Load{Calls: -l.Calls, PrefillTokens: -l.PrefillTokens, Decodes: -l.Decodes, KVTokens: -l.KVTokens}
 }
 
 func (l Load) isZero() bool { return l == Load{} }
 
-// Loads tracks the load and health of all endpoints: the work of this process exactly,
+// LoadTracker tracks the load and health of all endpoints: the work of this process exactly,
 // that of the other entries as of their last reports.
-type Loads struct {
+type LoadTracker struct {
 	mu     sync.Mutex
 	own    map[string]Load
 	peers  peerLoads
 	health map[string]*health
 	// engineModels and callTimes hold the latency estimates of each service.
-	engineModels map[string]*estimate.Engines
+	engineModels map[string]*estimate.EngineModel
 	callTimes    map[string]*estimate.Mean
 	// arrivals holds the demand that reaches this process, by service.
 	arrivals map[string]*demandRate
 	dirty    bool
 }
 
-func NewLoads() *Loads {
-	return &Loads{
+func NewLoadTracker() *LoadTracker {
+	return &LoadTracker{
 		own: make(map[string]Load), peers: newPeerLoads(), health: make(map[string]*health),
-		engineModels: make(map[string]*estimate.Engines), callTimes: make(map[string]*estimate.Mean),
+		engineModels: make(map[string]*estimate.EngineModel), callTimes: make(map[string]*estimate.Mean),
 		arrivals: make(map[string]*demandRate),
 	}
 }
 
 // Work is a handle on work in progress at one endpoint.
 type Work struct {
-	loads    *Loads
+	loads    *LoadTracker
 	endpoint string
 	mu       sync.Mutex
 	sum      Load
@@ -62,7 +62,7 @@
 }
 
 // Begin records work at an endpoint until Work.End.
-func (l *Loads) Begin(endpoint string, work Load) *Work {
+func (l *LoadTracker) Begin(endpoint string, work Load) *Work {
 	l.addOwn(endpoint, work)
 	return &Work{loads: l, endpoint: endpoint, sum: work}
 }
@@ -89,7 +89,7 @@
 	w.loads.addOwn(w.endpoint, w.sum.negated())
 }
 
-func (l *Loads) addOwn(endpoint string, by Load) {
+func (l *LoadTracker) addOwn(endpoint string, by Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum := l.own[endpoint].add(by)
@@ -101,8 +101,8 @@
 	l.own[endpoint] = sum
 }
 
-// Own returns the work of this process, and whether it changed since the last call.
-func (l *Loads) Own() (loads map[string]Load, changed bool) {
+// OwnLoads returns the work of this process, and whether it changed since the last call.
+func (l *LoadTracker) OwnLoads() (loads map[string]Load, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	loads = make(map[string]Load, len(l.own))
@@ -114,15 +114,15 @@
 	return loads, changed
 }
 
-// Hear replaces the reported work and demand of another process.
-func (l *Loads) Hear(now time.Time, process string, loads map[string]Load, demand map[string]Demand) {
+// SetPeerReport replaces the reported work and demand of another process.
+func (l *LoadTracker) SetPeerReport(now time.Time, process string, loads map[string]Load, demand map[string]Demand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.peers.setReport(now, process, loads, demand)
 }
 
 // total returns the work of all processes at an endpoint. The caller holds l.mu.
-func (l *Loads) total(now time.Time, endpoint string) Load {
+func (l *LoadTracker) total(now time.Time, endpoint string) Load {
 	return l.own[endpoint].add(l.peers.loadAt(now, endpoint))
 }
 
@@ -145,7 +145,7 @@
 }
 
 // View returns a snapshot of an endpoint's load and health.
-func (l *Loads) View(now time.Time, endpoint string) View {
+func (l *LoadTracker) View(now time.Time, endpoint string) View {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	v := View{Load: l.total(now, endpoint), Slowdown: 1, StepSlowdown: 1}
--- a/router/model.go
+++ b/router/model.go
@@ -14,12 +14,12 @@
 	"ebonypulley/quota"
 )
 
-// Kind determines whether the calls of a route may be repeated.
-type Kind uint8
+// RouteKind determines whether the calls of a route may be repeated.
+type RouteKind uint8
 
 const (
 	// Idempotent calls may be executed more than once.
-	Idempotent Kind = iota + 1
+	Idempotent RouteKind = iota + 1
 	// NonIdempotent calls are executed at most once.
 	NonIdempotent
 	// Generation calls are answered by a model engine with a stream of events.
@@ -43,19 +43,19 @@
 	Name   string
 	Host   string
 	Prefix string
-	Kind   Kind
+	Kind   RouteKind
 	// Resumable allows a generation to continue at another endpoint.
 	Resumable bool
 	// Timeout is the maximum time to serve a request.
 	Timeout time.Duration
-	// Target is the latency objective: time to the answer, or to the first event of a
+	// LatencyTarget is the latency objective: time to the answer, or to the first event of a
 	// stream.
-	Target time.Duration
-	// Gap is the objective for the longest gap between two events of a stream, or zero for
+	LatencyTarget time.Duration
+	// MaxGap is the objective for the longest gap between two events of a stream, or zero for
 	// none.
-	Gap time.Duration
-	// Patience is the silence after which callers abandon a stream, or zero if unknown.
-	Patience time.Duration
+	MaxGap time.Duration
+	// SilenceTimeout is the silence after which callers abandon a stream, or zero if unknown.
+	SilenceTimeout time.Duration
 	// KeyExempt routes need no workspace key.
 	KeyExempt bool
 	// MaxAttempts is the maximum number of endpoints that one request may be sent to; zero
@@ -85,20 +85,20 @@
 	Limit quota.Limit
 	// CountsRequests says that the limit counts requests instead of tokens.
 	CountsRequests bool
-	// PlainTokens is what a request without tokens costs.
-	PlainTokens int
+	// PlainCost is what a request without tokens costs.
+	PlainCost int
 	// Keys holds the digests of the workspace's keys.
 	Keys []KeyDigest
 }
 
-// Count returns what a request with this many tokens (zero for none) costs against the
+// Cost returns what a request with this many tokens (zero for none) costs against the
 // limit.
-func (w *Workspace) Count(tokens int) int {
+func (w *Workspace) Cost(tokens int) int {
 	switch {
 	case w.CountsRequests:
 		return 1
 	case tokens == 0:
-		return w.PlainTokens
+		return w.PlainCost
 	}
 	return tokens
 }
@@ -128,21 +128,21 @@
 type Engine struct {
 	// Slots is the maximum batch size of an engine.
 	Slots int
-	// KVTokens is the KV cache capacity of an engine in tokens, for running and cached
+	// KVCapacity is the KV cache capacity of an engine in tokens, for running and cached
 	// requests.
-	KVTokens int
+	KVCapacity int
 	// Stride is the number of tokens per stream event.
 	Stride int
-	// ResultLife is how long a prefill result is kept.
-	ResultLife time.Duration
-	// PromptSlowdown is the ratio of a decode engine's prefill time to that of a prefill
+	// ResultTTL is how long a prefill result is kept.
+	ResultTTL time.Duration
+	// LocalPrefillSlowdown is the ratio of a decode engine's prefill time to that of a prefill
 	// engine, or zero if unknown.
-	PromptSlowdown float64
-	// StageSwitch is how long an engine takes to switch between the prefill and decode
+	LocalPrefillSlowdown float64
+	// StageSwitchTime is how long an engine takes to switch between the prefill and decode
 	// stages.
-	StageSwitch time.Duration
-	// HoldMost is the maximum time that memory can be reserved, or zero for no limit.
-	HoldMost time.Duration
+	StageSwitchTime time.Duration
+	// MaxHold is the maximum time that memory can be reserved, or zero for no limit.
+	MaxHold time.Duration
 }
 
 // Endpoint is one incarnation of an engine or a plain service.
@@ -159,8 +159,8 @@
 	Slots int
 }
 
-// CalledBy returns the name that requests to the endpoint carry.
-func (e *Endpoint) CalledBy() string {
+// RequestName returns the name that requests to the endpoint carry.
+func (e *Endpoint) RequestName() string {
 	if e.Name != "" {
 		return e.Name
 	}
@@ -178,32 +178,32 @@
 	Workspace *Workspace
 	// Tokens is what the call costs against the limit of its workspace.
 	Tokens int
-	// Began is when the request was received.
-	Began time.Time
+	// ReceivedAt is when the request was received.
+	ReceivedAt time.Time
 	// Deadline is when the timeout of the caller or the route expires.
 	Deadline time.Time
-	// Wait is the caller's timeout.
-	Wait time.Duration
+	// Timeout is the caller's timeout.
+	Timeout time.Duration
 	// Message is the request itself, opaque to this package.
 	Message any
-	// Content is a hash of the request's content, equal when a caller repeats the request;
+	// ContentHash is a hash of the request's content, equal when a caller repeats the request;
 	// zero if unknown.
-	Content uint64
-	// Prompt is the number of prompt tokens and Output the maximum number of generated
+	ContentHash uint64
+	// PromptTokens is the number of prompt tokens and Output the maximum number of generated
 	// tokens. Both are zero for plain calls.
-	Prompt, Output int
-	// Hint is the caller's estimate of the number of generated tokens, or zero for none.
-	Hint int
+	PromptTokens, MaxOutputTokens int
+	// LengthHint is the caller's estimate of the number of generated tokens, or zero for none.
+	LengthHint int
 	// Session identifies the part of the prompt that is specific to this caller. Requests
 	// with the same prompt have the same session.
 	Session string
-	// Resume is the number of the last event that the caller received, or NoNumber.
-	Resume int64
-	// Class names the latency histograms that the call counts in; if empty, the service's
+	// ResumeAfter is the number of the last event that the caller received, or NoEvent.
+	ResumeAfter int64
+	// MetricsClass names the latency histograms that the call counts in; if empty, the service's
 	// name does.
-	Class string
-	// MaxWait is how long the call may queue at an agent before its answer begins.
-	MaxWait time.Duration
+	MetricsClass string
+	// MaxQueueTime is how long the call may queue at an agent before its answer begins.
+	MaxQueueTime time.Duration
 	// Keyed calls may run only at the endpoint that owns their idempotency key.
 	Keyed bool
 }
@@ -222,26 +222,26 @@
 
 // class returns the name of the call's histograms.
 func (c *Call) class() string {
-	if c.Class != "" {
-		return c.Class
+	if c.MetricsClass != "" {
+		return c.MetricsClass
 	}
 	return c.Service.Name
 }
 
 // ContentField returns the content hash as a log field.
 func (c *Call) ContentField() zap.Field {
-	return zap.String("content", strconv.FormatUint(c.Content, 16))
+	return zap.String("content", strconv.FormatUint(c.ContentHash, 16))
 }
 
-// Patience returns how long the call may queue at an agent: the rest of MaxWait before
+// QueueTimeLeft returns how long the call may queue at an agent: the rest of MaxQueueTime before
 // the answer has begun, and until the deadline afterwards.
-func (c *Call) Patience(now time.Time, begun bool) time.Duration {
-	left := c.Left(now)
+func (c *Call) QueueTimeLeft(now time.Time, begun bool) time.Duration {
+	left := c.TimeLeft(now)
 	if !begun {
-		left = min(left, c.Began.Add(c.MaxWait).Sub(now))
+		left = min(left, c.ReceivedAt.Add(c.MaxQueueTime).Sub(now))
 	}
 	return max(left, 0)
 }
 
-// Left returns the time until the deadline.
-func (c *Call) Left(now time.Time) time.Duration { return c.Deadline.Sub(now) }
+// TimeLeft returns the time until the deadline.
+func (c *Call) TimeLeft(now time.Time) time.Duration { return c.Deadline.Sub(now) }
--- a/router/notice.go
+++ b/router/notice.go
@@ -15,12 +15,12 @@
 
 // Notice is what an endpoint advertises about itself along with an answer.
 type Notice struct {
-	// Asked is when the request was sent that it answers.
-	Asked time.Time
-	// Leaving says that the endpoint is draining and will soon exit.
-	Leaving bool
-	// Quiet is how long the endpoint accepts nothing from this process.
-	Quiet time.Duration
+	// SentAt is when the request was sent that it answers.
+	SentAt time.Time
+	// Draining says that the endpoint is draining and will soon exit.
+	Draining bool
+	// Backoff is how long the endpoint accepts nothing from this process.
+	Backoff time.Duration
 	// Limit is what the endpoint accepts from all processes together. It holds as long as
 	// the endpoint repeats it.
 	Limit RequestLimit
@@ -28,33 +28,33 @@
 
 // RequestLimit limits the rate of requests to an endpoint.
 type RequestLimit struct {
-	// Named says that there is a limit.
-	Named     bool
-	PerSecond float64
+	// Advertised says that there is a limit.
+	Advertised bool
+	PerSecond  float64
 }
 
-// Notice processes a notice from an endpoint.
+// HandleNotice processes a notice from an endpoint.
 //
 // A draining endpoint gets no more work from then on, whatever is published about this
 // incarnation. During an outage of the store it stays published as ready, and would
 // otherwise get requests for seconds that are lost when it exits.
-func (r *Router) Notice(e *Endpoint, n Notice) {
+func (r *Router) HandleNotice(e *Endpoint, n Notice) {
 	now := time.Now()
-	if n.Quiet > 0 {
+	if n.Backoff > 0 {
 		r.metrics.Add("endpoints_quiet", 1)
-		r.loads.RecordBackoff(now, e.ID, n.Quiet)
+		r.loads.RecordBackoff(now, e.ID, n.Backoff)
 	}
 	r.noticeLimit(now, e, n)
-	if n.Leaving && r.markDraining(now, e.ID) {
-		r.log.Emit(event.EndpointLeaving, zap.String("endpoint", e.ID))
+	if n.Draining && r.markDraining(now, e.ID) {
+		r.log.Emit(event.EndpointDraining, zap.String("endpoint", e.ID))
 	}
 }
 
 // noticeLimit records an endpoint's advertised limit, or that it no longer has one.
 func (r *Router) noticeLimit(now time.Time, e *Endpoint, n Notice) {
-	s := quota.Statement{Endpoint: quota.EndpointID(e.ID), Named: n.Limit.Named, PerSecond: n.Limit.PerSecond}
-	if r.quotas.State(now, n.Asked, s) {
-		r.log.Emit(event.EndpointLimited, zap.String("endpoint", e.ID), zap.Bool("limited", n.Limit.Named), zap.Float64("per_second", n.Limit.PerSecond))
+	s := quota.EndpointLimit{Endpoint: quota.EndpointID(e.ID), Advertised: n.Limit.Advertised, PerSecond: n.Limit.PerSecond}
+	if r.quotas.SetEndpointLimit(now, n.SentAt, s) {
+		r.log.Emit(event.EndpointLimited, zap.String("endpoint", e.ID), zap.Bool("limited", n.Limit.Advertised), zap.Float64("per_second", n.Limit.PerSecond))
 	}
 }
 
--- a/router/others_test.go
+++ b/router/others_test.go
@@ -14,15 +14,15 @@
 
 // loadsWithPeers returns loads with the reports of some other entries, each about ten
 // engines.
-func loadsWithPeers(others, engines int) *router.Loads {
-	l := router.NewLoads()
+func loadsWithPeers(others, engines int) *router.LoadTracker {
+	l := router.NewLoadTracker()
 	now := time.Now()
 	for i := range others {
 		work := make(map[string]router.Load)
 		for j := range 10 {
-			work["engine-"+strconv.Itoa((7*i+j)%engines)] = router.Load{Decodes: 1, KV: 5000}
+			work["engine-"+strconv.Itoa((7*i+j)%engines)] = router.Load{Decodes: 1, KVTokens: 5000}
 		}
-		l.Hear(now, "entry-"+strconv.Itoa(i), work, nil)
+		l.SetPeerReport(now, "entry-"+strconv.Itoa(i), work, nil)
 	}
 	return l
 }
@@ -30,10 +30,10 @@
 const manyEngines = 120
 
 // viewAll views each engine, as one placement does.
-func viewAll(l *router.Loads, ids []string) (kv int) {
+func viewAll(l *router.LoadTracker, ids []string) (kv int) {
 	now := time.Now()
 	for _, id := range ids {
-		kv += l.View(now, id).KV
+		kv += l.View(now, id).KVTokens
 	}
 	return kv
 }
@@ -86,12 +86,12 @@
 // TestPeerSumsFollowReports: the load of other entries must equal the sum of their last
 // valid reports, regardless of the order of reports, expiries and views.
 func TestPeerSumsFollowReports(t *testing.T) {
-	l := router.NewLoads()
+	l := router.NewLoadTracker()
 	now := time.Unix(1000, 0)
 	say := func(d time.Duration, from string, kv int) {
-		l.Hear(now.Add(d), from, map[string]router.Load{"e": {Decodes: 1, KV: kv}}, nil)
+		l.SetPeerReport(now.Add(d), from, map[string]router.Load{"e": {Decodes: 1, KVTokens: kv}}, nil)
 	}
-	kv := func(d time.Duration) int { return l.View(now.Add(d), "e").KV }
+	kv := func(d time.Duration) int { return l.View(now.Add(d), "e").KVTokens }
 	say(0, "a", 100)
 	say(time.Second, "b", 10)
 	assert.Equal(t, 110, kv(time.Second))
@@ -102,7 +102,7 @@
 	assert.Zero(t, kv(3600*time.Millisecond))
 	say(4*time.Second, "a", 7)
 	assert.Equal(t, 7, kv(4*time.Second))
-	l.Hear(now.Add(5*time.Second), "a", nil, nil)
+	l.SetPeerReport(now.Add(5*time.Second), "a", nil, nil)
 	assert.Zero(t, kv(5*time.Second))
 }
 
@@ -152,11 +152,11 @@
 func exchangeReports(all []*router.Router) {
 	now := time.Now()
 	for i, from := range all {
-		work, _ := from.Loads().Own()
+		work, _ := from.Loads().OwnLoads()
 		for _, to := range all {
 			if to != from {
-				to.Loads().Hear(now, strconv.Itoa(i), work, from.Loads().OwnDemand(now))
-				to.Loads().HearAvoided(now, strconv.Itoa(i), from.Loads().Avoided(now))
+				to.Loads().SetPeerReport(now, strconv.Itoa(i), work, from.Loads().OwnDemand(now))
+				to.Loads().MergeAvoided(now, strconv.Itoa(i), from.Loads().Avoided(now))
 			}
 		}
 	}
@@ -165,7 +165,7 @@
 // TestAvoidedListIsBounded: when every engine of a large fleet fails at once, the reports
 // about them must not saturate the links between entries.
 func TestAvoidedListIsBounded(t *testing.T) {
-	l := router.NewLoads()
+	l := router.NewLoadTracker()
 	now := time.Unix(1000, 0)
 	for i := range 500 {
 		l.RecordFailure(now.Add(time.Duration(i)*time.Millisecond), "engine-"+strconv.Itoa(i))
--- a/router/permit.go
+++ b/router/permit.go
@@ -30,7 +30,7 @@
 		r.metrics.Add("endpoint_limits_met", 1)
 		return nil, max(v.Wait, roomPollInterval)
 	}
-	return &permit{quotas: r.quotas, id: id, unsettled: v.Counted}, 0
+	return &permit{quotas: r.quotas, id: id, unsettled: v.Limited}, 0
 }
 
 // limitedUntil holds the endpoints at their advertised limit, with the time until which
--- a/router/place.go
+++ b/router/place.go
@@ -50,7 +50,7 @@
 	decode  *Endpoint
 	// prefillTime is the estimated duration of the prefill, firstEvent the estimated time
 	// to the first event.
-	prefillTime, firstEvent estimate.Time
+	prefillTime, firstEvent estimate.Duration
 	// fill is the fraction of the decode endpoint's memory in use, including the call.
 	fill float64
 	// queuedTokens is the number of prompt tokens queued where the prompt is prefilled.
@@ -75,7 +75,7 @@
 	// limited holds endpoints to exclude until a given time.
 	limited limitedUntil
 	// kept is a prefill result that only needs a decode endpoint, or nil.
-	kept *Result
+	kept *PrefillResult
 	// warm is an engine that probably still caches the prompt, or nil.
 	warm *Endpoint
 	// fill is the maximum fraction of an engine's memory in use, including the call.
@@ -92,7 +92,9 @@
 // The rest is added as it is generated. Accounting for the maximum answer from the start
 // would leave a fifth of the memory unused: answers are shorter than the maximum that
 // callers allow, and others end while they grow.
-func (c *Call) initialTokens() int { return c.Prompt + min(c.Output, growthEvents*c.stride()) }
+func (c *Call) initialTokens() int {
+	return c.PromptTokens + min(c.MaxOutputTokens, growthEvents*c.stride())
+}
 
 // stride returns the number of tokens per stream event.
 func (c *Call) stride() int {
@@ -112,8 +114,8 @@
 // placer computes the costs of placements for one call.
 type placer struct {
 	call  *Call
-	model estimate.Engines
-	slo   estimate.Promise
+	model estimate.EngineModel
+	slo   estimate.SLO
 }
 
 // place returns the placement with the lowest expected time to the first event, or false
@@ -126,7 +128,7 @@
 func (r *Router) place(now time.Time, c *Call, o placeOptions) (placement, bool) {
 	d := r.Directory()
 	pl := placer{call: c, model: r.loads.Engines(c.Service), slo: c.slo()}
-	decodes := r.sample(pl.withRoom(pl.addCosts(r.candidates(now, d.Endpoints(c.Service.Name, Decode), o)), o.fill), c.Content, o.warm)
+	decodes := r.sample(pl.withRoom(pl.addCosts(r.candidates(now, d.Endpoints(c.Service.Name, Decode), o)), o.fill), c.ContentHash, o.warm)
 	if len(decodes) == 0 {
 		return placement{}, false
 	}
@@ -138,7 +140,7 @@
 	for i := range decodes {
 		dec := &decodes[i]
 		if o.warm != nil && o.warm.ID == dec.e.ID {
-			best = scoredPlacement{placement: placement{decode: dec.e, firstEvent: pl.model.Handoff(false, pl.slo), fill: dec.fill(c), warm: true}}
+			best = scoredPlacement{placement: placement{decode: dec.e, firstEvent: pl.model.HandoffTime(false, pl.slo), fill: dec.fill(c), warm: true}}
 			break
 		}
 		w := pl.best(dec, prefills, o.kept)
@@ -156,20 +158,20 @@
 }
 
 // best returns the cheapest placement that decodes at dec.
-func (pl *placer) best(dec *candidate, prefills []candidate, kept *Result) scoredPlacement {
+func (pl *placer) best(dec *candidate, prefills []candidate, kept *PrefillResult) scoredPlacement {
 	if kept != nil {
 		handoff, cost := pl.transfer(kept.Endpoint, dec)
 		return scoredPlacement{placement{decode: dec.e, firstEvent: handoff, fill: dec.fill(pl.call)}, cost + dec.cost}
 	}
 	local := pl.localPrefill(dec.view)
-	best := scoredPlacement{placement{decode: dec.e, firstEvent: local, fill: dec.fill(pl.call), queuedTokens: dec.view.Prefill}, local.Mean + dec.cost + pl.interference(dec.view, local.Mean)}
+	best := scoredPlacement{placement{decode: dec.e, firstEvent: local, fill: dec.fill(pl.call), queuedTokens: dec.view.PrefillTokens}, local.Mean + dec.cost + pl.interference(dec.view, local.Mean)}
 	for i := range prefills {
 		pre := &prefills[i]
 		handoff, cost := pl.transfer(pre.e, dec)
 		prompt := pl.prefillTime(pre.view)
 		cost += prompt.Mean + dec.cost + pre.cost
 		if cost < best.cost {
-			best = scoredPlacement{placement{prefill: pre.e, decode: dec.e, prefillTime: prompt, firstEvent: prompt.Plus(handoff), fill: dec.fill(pl.call), queuedTokens: pre.view.Prefill}, cost}
+			best = scoredPlacement{placement{prefill: pre.e, decode: dec.e, prefillTime: prompt, firstEvent: prompt.Add(handoff), fill: dec.fill(pl.call), queuedTokens: pre.view.PrefillTokens}, cost}
 		}
 	}
 	return best
@@ -177,21 +179,21 @@
 
 // prefillTime estimates the duration of the call's prefill, including those queued before
 // it.
-func (pl *placer) prefillTime(v View) estimate.Time {
-	return pl.model.Prompt(v.Prefill+pl.call.Prompt, pl.call.Prompt, pl.slo).Times(v.Slowdown)
+func (pl *placer) prefillTime(v View) estimate.Duration {
+	return pl.model.PrefillTime(v.PrefillTokens+pl.call.PromptTokens, pl.call.PromptTokens, pl.slo).Scale(v.Slowdown)
 }
 
 // localPrefill estimates the time to the first event at a decode engine that prefills the
 // prompt itself.
-func (pl *placer) localPrefill(v View) estimate.Time {
-	return pl.model.Alone(v.Prefill+pl.call.Prompt, pl.call.Prompt, pl.slo).Times(v.StepSlowdown)
+func (pl *placer) localPrefill(v View) estimate.Duration {
+	return pl.model.LocalPrefillTTFT(v.PrefillTokens+pl.call.PromptTokens, pl.call.PromptTokens, pl.slo).Scale(v.StepSlowdown)
 }
 
 // transfer estimates the time from a finished prefill at one engine to the first event at
 // another, and the cost of that transfer.
-func (pl *placer) transfer(from *Endpoint, to *candidate) (estimate.Time, time.Duration) {
+func (pl *placer) transfer(from *Endpoint, to *candidate) (estimate.Duration, time.Duration) {
 	far := from.DataCentre != to.e.DataCentre
-	handoff := pl.model.Handoff(far, pl.slo)
+	handoff := pl.model.HandoffTime(far, pl.slo)
 	cost := handoff.Mean
 	if far {
 		cost += pl.targetFraction(remoteDCFraction)
@@ -253,7 +255,7 @@
 // all its streams are late although none of them began late.
 func (pl *placer) interference(v View, local time.Duration) time.Duration {
 	cost := time.Duration(float64(local) * interferenceFraction)
-	if gap := pl.slo.Gap; gap > 0 && pl.gapDuringPrefill(v, local) > gap-time.Duration(gapMargin*float64(gap)) {
+	if gap := pl.slo.MaxGap; gap > 0 && pl.gapDuringPrefill(v, local) > gap-time.Duration(gapMargin*float64(gap)) {
 		cost += pl.targetFraction(lateStreamFraction)
 	}
 	return cost * time.Duration(v.Decodes)
@@ -262,7 +264,7 @@
 // gapDuringPrefill estimates the gap between two events while the engine prefills the
 // call's prompt.
 func (pl *placer) gapDuringPrefill(v View, local time.Duration) time.Duration {
-	gap := pl.model.Pause(v.Decodes, pl.slo).Mean + pl.model.Disturbance(local)
+	gap := pl.model.EventGap(v.Decodes, pl.slo).Mean + pl.model.PrefillInterference(local)
 	return time.Duration(v.StepSlowdown * float64(gap))
 }
 
@@ -271,7 +273,7 @@
 	if c.Service.Engine == nil {
 		return 0
 	}
-	return float64(s.view.KV+c.initialTokens()) / float64(max(c.Service.Engine.KVTokens, 1))
+	return float64(s.view.KVTokens+c.initialTokens()) / float64(max(c.Service.Engine.KVCapacity, 1))
 }
 
 // candidates returns the endpoints that accept work, with their state.
@@ -309,8 +311,8 @@
 
 // streamCost is the cost of each stream already running at a decode engine.
 func (pl *placer) streamCost() time.Duration {
-	minCost := time.Duration(minStreamFraction * float64(pl.model.Pause(0, pl.slo).Mean))
-	return max(batchDelayEvents*pl.model.Crowd(), minCost)
+	minCost := time.Duration(minStreamFraction * float64(pl.model.EventGap(0, pl.slo).Mean))
+	return max(batchDelayEvents*pl.model.GapPerStream(), minCost)
 }
 
 // responsive drops the endpoints that are being avoided, unless that leaves none.
@@ -341,9 +343,9 @@
 	if eng == nil {
 		return true
 	}
-	limit := min(int(float64(eng.KVTokens)*fill), eng.KVTokens-headroomAnswers*pl.model.Answer(pl.call.Output))
+	limit := min(int(float64(eng.KVCapacity)*fill), eng.KVCapacity-headroomAnswers*pl.model.ExpectedTokens(pl.call.MaxOutputTokens))
 	if v.Decodes == 0 {
-		limit = eng.KVTokens // nothing there grows but the call itself
+		limit = eng.KVCapacity // nothing there grows but the call itself
 	}
-	return !v.Full && v.KV+pl.call.initialTokens() <= limit && v.Decodes < eng.Slots
+	return !v.Full && v.KVTokens+pl.call.initialTokens() <= limit && v.Decodes < eng.Slots
 }
--- a/router/place_test.go
+++ b/router/place_test.go
@@ -33,7 +33,7 @@
 		for _, tokens := range []int{3000, 9000} {
 			r.Loads().RecordPrefill(now, engine("p", router.Prefill), llm, tokens, time.Duration(tokens/50)*time.Millisecond)
 		}
-		r.Loads().Learn(llm, func(m *estimate.Engines) { m.Begun(false, 12*time.Millisecond) })
+		r.Loads().Learn(llm, func(m *estimate.EngineModel) { m.RecordHandoff(false, 12*time.Millisecond) })
 	}
 	const usual = 39 * time.Millisecond
 	for range 100 {
@@ -43,7 +43,7 @@
 		r.Loads().RecordGap(now, engine("d", router.Decode), llm, 2, time.Duration(float64(usual)*pace))
 	}
 	for range 20 {
-		r.Loads().Learn(llm, func(m *estimate.Engines) { m.Disturbed(2, usual+225*time.Millisecond) })
+		r.Loads().Learn(llm, func(m *estimate.EngineModel) { m.RecordGapWithPrefill(2, usual+225*time.Millisecond) })
 	}
 }
 
@@ -67,12 +67,12 @@
 				f := &fakeEndpoints{}
 				r := newRouter(f, engine("p", router.Prefill), engine("d", router.Decode))
 				trainEstimates(r, tt.pace)
-				defer r.Loads().Begin("p", router.Load{Prefill: 20000}).End()
+				defer r.Loads().Begin("p", router.Load{PrefillTokens: 20000}).End()
 				defer r.Loads().Begin("d", router.Load{Decodes: tt.streams}).End()
 				route := resumableRoute
-				route.Gap = 300 * time.Millisecond
+				route.MaxGap = 300 * time.Millisecond
 				c := newCall(route, llm)
-				c.Prompt = 6000
+				c.PromptTokens = 6000
 				_, fail := r.Generate(t.Context(), c, new(fakeSink))
 				assert.Nil(t, fail)
 				assert.Equal(t, tt.alone, len(localPrefills(f.recorded())) > 0)
@@ -91,7 +91,7 @@
 		_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), new(fakeSink))
 		assert.Nil(t, fail)
 		model := r.Loads().Engines(llm)
-		assert.Greater(t, model.Pause(1, estimate.Promise{}).Mean, 50*time.Millisecond)
+		assert.Greater(t, model.EventGap(1, estimate.SLO{}).Mean, 50*time.Millisecond)
 		assert.Greater(t, r.Loads().View(time.Now(), "d").StepSlowdown, 1.05)
 		assert.Equal(t, 1.0, r.Loads().View(time.Now(), "other").StepSlowdown)
 	})
@@ -105,7 +105,7 @@
 		f := &fakeEndpoints{}
 		r := newRouter(f, engine("p", router.Prefill), engine("dead", router.Decode), engine("d", router.Decode))
 		r.Loads().RecordGone(time.Now(), "dead")
-		work := r.Loads().Begin("d", router.Load{Decodes: 10, KV: 58000})
+		work := r.Loads().Begin("d", router.Load{Decodes: 10, KVTokens: 58000})
 		time.AfterFunc(200*time.Millisecond, work.End)
 		_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), new(fakeSink))
 		assert.Nil(t, fail)
@@ -117,15 +117,15 @@
 // others, unless it answered them since. Otherwise each entry delays a generation by a
 // second to find out.
 func TestAvoidedIsShared(t *testing.T) {
-	a, b, c := router.NewLoads(), router.NewLoads(), router.NewLoads()
+	a, b, c := router.NewLoadTracker(), router.NewLoadTracker(), router.NewLoadTracker()
 	now := time.Unix(1000, 0)
 	b.RecordSuccess(now.Add(-time.Second), "e")
 	a.RecordUnresponsive(now, "e")
 	later := now.Add(100 * time.Millisecond)
 	c.RecordSuccess(later, "e")
 	for _, heard := range a.Avoided(later) {
-		b.HearAvoided(later, "a", []router.Avoided{heard})
-		c.HearAvoided(later, "a", []router.Avoided{heard})
+		b.MergeAvoided(later, "a", []router.AvoidedEndpoint{heard})
+		c.MergeAvoided(later, "a", []router.AvoidedEndpoint{heard})
 	}
 	assert.True(t, b.View(later, "e").Avoided)
 	assert.False(t, c.View(later, "e").Avoided, "it has answered since the report")
@@ -148,13 +148,13 @@
 		r := newRouter(f, engine("p", router.Prefill), engine("d1", router.Decode), engine("d2", router.Decode))
 		trainEstimates(r, 1)
 		for _, id := range []string{"d1", "d2"} {
-			defer r.Loads().Begin(id, router.Load{Decodes: 9, KV: 49000}).End()
+			defer r.Loads().Begin(id, router.Load{Decodes: 9, KVTokens: 49000}).End()
 		}
 		route := resumableRoute
-		route.Target = time.Millisecond
+		route.LatencyTarget = time.Millisecond
 		c := newCall(route, llm)
-		c.Prompt = 4000
-		first := r.Loads().Begin("d1", router.Load{KV: -20000})
+		c.PromptTokens = 4000
+		first := r.Loads().Begin("d1", router.Load{KVTokens: -20000})
 		time.AfterFunc(50*time.Millisecond, first.End)
 		_, fail := r.Generate(t.Context(), c, new(fakeSink))
 		assert.Nil(t, fail)
@@ -178,7 +178,7 @@
 			}
 			r := newRouter(f, list...)
 			for i := range engines {
-				defer r.Loads().Begin(list[i].ID, router.Load{Decodes: i, KV: 1000 * i}).End()
+				defer r.Loads().Begin(list[i].ID, router.Load{Decodes: i, KVTokens: 1000 * i}).End()
 			}
 			_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), new(fakeSink))
 			assert.Nil(t, fail)
@@ -199,16 +199,16 @@
 		served bool
 	}{{5900, true}, {6100, false}} {
 		synctest.Test(t, func(t *testing.T) {
-			small := &router.Service{Name: "llm", Engine: &router.Engine{Slots: 8, KVTokens: 6000, Stride: 1}}
+			small := &router.Service{Name: "llm", Engine: &router.Engine{Slots: 8, KVCapacity: 6000, Stride: 1}}
 			f := &fakeEndpoints{}
 			r := newRouter(f, engine("d", router.Decode))
 			c := newCall(resumableRoute, small)
-			c.Prompt = tt.prompt
+			c.PromptTokens = tt.prompt
 			_, fail := r.Generate(t.Context(), c, new(fakeSink))
 			assert.Equal(t, tt.served, fail == nil)
 			if fail != nil {
-				assert.Equal(t, router.NotRun, fail.Why)
-				assert.Zero(t, time.Since(c.Began), "refused at once")
+				assert.Equal(t, router.NotRun, fail.Reason)
+				assert.Zero(t, time.Since(c.ReceivedAt), "refused at once")
 			}
 		})
 	}
--- a/router/plain.go
+++ b/router/plain.go
@@ -53,7 +53,7 @@
 
 func (r *Router) call(ctx context.Context, c *Call) (*Answer, *Failure) {
 	run := &plainRun{r: r, c: c, tried: make(map[string]bool), limited: make(limitedUntil)}
-	r.budget(c.Service.Name).First(c.Began)
+	r.budget(c.Service.Name).RecordFirst(c.ReceivedAt)
 	for unreachable := 0; ; {
 		a, err := run.attempt(ctx)
 		if !errorx.IsOfType(err, ErrNotRun) {
@@ -96,13 +96,13 @@
 		return p.mayRetryAtAgent(ctx, err)
 	}
 	now := time.Now()
-	if p.sent >= p.c.Route.MaxAttempts || ctx.Err() != nil || p.c.Left(now) <= 0 {
+	if p.sent >= p.c.Route.MaxAttempts || ctx.Err() != nil || p.c.TimeLeft(now) <= 0 {
 		return false
 	}
 	if p.next = p.pick(now); p.next == nil {
 		return false
 	}
-	if !p.r.budget(p.c.Service.Name).Retry(now) {
+	if !p.r.budget(p.c.Service.Name).TakeRetry(now) {
 		p.permit.release(now)
 		return false
 	}
@@ -151,7 +151,7 @@
 	r.recordAttempt(ctx, e, a, err, time.Since(began))
 	switch {
 	case err == nil:
-		r.crashes.Served(time.Now(), c.Content)
+		r.crashes.RecordSuccess(time.Now(), c.ContentHash)
 	case ctx.Err() == nil:
 		r.recordIfCrashed(c, poison.Attempt{Lasted: time.Since(began)}, e, err)
 	}
@@ -180,8 +180,8 @@
 	if most := p.c.Route.MaxAttempts; p.c.Route.Kind != Idempotent || most > 0 && p.sent >= most {
 		return p.c.Deadline
 	}
-	usual := p.r.loads.CallTime(p.c.Service.Name, p.c.Route.Target)
-	first := max(time.Duration(float64(p.c.Left(now))*firstAttemptFraction), usual.High()+networkAllowance)
+	usual := p.r.loads.CallTime(p.c.Service.Name, p.c.Route.LatencyTarget)
+	first := max(time.Duration(float64(p.c.TimeLeft(now))*firstAttemptFraction), usual.UpperBound()+networkAllowance)
 	return earlier(now.Add(first), p.c.Deadline)
 }
 
@@ -212,12 +212,12 @@
 // unanswered reports whether the endpoint itself gave no answer: it accepted no
 // connection, or another one has its address.
 func unanswered(err error) bool {
-	return errorx.IsOfType(err, ErrUnreachable) || errorx.IsOfType(err, ErrMoved)
+	return errorx.IsOfType(err, ErrUnreachable) || errorx.IsOfType(err, ErrReplaced)
 }
 
 // avoid records an endpoint that gave no answer.
 func (r *Router) avoid(now time.Time, e *Endpoint, err error) {
-	if errorx.IsOfType(err, ErrAbsent) {
+	if errorx.IsOfType(err, ErrNotListening) {
 		r.loads.RecordGone(now, e.ID)
 		return
 	}
@@ -228,21 +228,21 @@
 	f := &Failure{Cause: err}
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		f.Why = CallerGone
+		f.Reason = CallerGone
 	case errorx.IsOfType(err, ErrNotRun) && !p.ran:
-		f.Why = NotRun
-		f.Retry = retryAdvice(err, p.retryDelay())
-	case p.c.Left(time.Now()) <= 0:
-		f.Why = TimedOut
+		f.Reason = NotRun
+		f.RetryAfter = retryAdvice(err, p.retryDelay())
+	case p.c.TimeLeft(time.Now()) <= 0:
+		f.Reason = TimedOut
 	default:
-		f.Why = Unknown
+		f.Reason = Unknown
 	}
 	return f
 }
 
 // retryDelay returns when a refused call may be retried.
 func (p *plainRun) retryDelay() time.Duration {
-	call := float64(p.r.loads.CallTime(p.c.Service.Name, p.c.Route.Target).Mean)
+	call := float64(p.r.loads.CallTime(p.c.Service.Name, p.c.Route.LatencyTarget).Mean)
 	unavailable := p.r.unavailableFor(time.Now(), p.c.Service.Name, Plain, p.limited)
 	return unavailable + p.r.jitter(time.Duration(plainRetryCalls*call), max(time.Duration(plainRetrySpreadCalls*call), time.Millisecond))
 }
@@ -263,7 +263,7 @@
 func (r *Router) pickPlain(now time.Time, c *Call, tried map[string]bool, limited limitedUntil) *Endpoint {
 	var best *Endpoint
 	var bestCost float64
-	usual := float64(r.loads.CallTime(c.Service.Name, c.Route.Target).Mean)
+	usual := float64(r.loads.CallTime(c.Service.Name, c.Route.LatencyTarget).Mean)
 	for _, e := range r.Directory().Endpoints(c.Service.Name, Plain) {
 		if tried[e.ID] || now.Before(limited[e.ID]) || r.loads.backoffLeft(now, e.ID) > 0 {
 			continue
--- a/router/plain_test.go
+++ b/router/plain_test.go
@@ -25,7 +25,7 @@
 		route.MaxAttempts = 2
 		_, fail := r.Call(t.Context(), newCall(route, app))
 		require.NotNil(t, fail)
-		assert.Equal(t, router.Unknown, fail.Why)
+		assert.Equal(t, router.Unknown, fail.Reason)
 		assert.Len(t, f.recorded(), 1)
 	})
 }
@@ -109,7 +109,7 @@
 		}
 		for range 10 {
 			c := newCall(idempotentRoute, app)
-			c.Deadline = c.Began.Add(800 * time.Millisecond)
+			c.Deadline = c.ReceivedAt.Add(800 * time.Millisecond)
 			a, fail := r.Call(t.Context(), c)
 			require.Nil(t, fail)
 			assert.NotEqual(t, slow, a.Body)
--- a/router/poison.go
+++ b/router/poison.go
@@ -27,13 +27,13 @@
 var errPoison = ErrNotRun.NewSubtype("poison")
 
 // Crashes returns the ledger of requests that were running when endpoints crashed.
-func (r *Router) Crashes() *poison.Ledger { return r.crashes }
+func (r *Router) Crashes() *poison.Detector { return r.crashes }
 
 // refusePoison returns an error if the request is blocked because it crashes endpoints.
 // It is called before each arrival at an endpoint, because other entries may have
 // reported crashes meanwhile.
 func (r *Router) refusePoison(c *Call) error {
-	if c.Content == 0 || !r.crashes.Turned(time.Now(), c.Content) {
+	if c.ContentHash == 0 || !r.crashes.Blocked(time.Now(), c.ContentHash) {
 		return nil
 	}
 	r.metrics.Add("poison_refused", 1)
@@ -53,7 +53,7 @@
 // for the result of that check, so that the request is not sent to another endpoint
 // before it may be blocked.
 func (r *Router) recordIfCrashed(c *Call, a poison.Attempt, e *Endpoint, err error) {
-	if r.usesAgents() || c.Content == 0 || !errorx.IsOfType(err, ErrBroken) {
+	if r.usesAgents() || c.ContentHash == 0 || !errorx.IsOfType(err, ErrBroken) {
 		return
 	}
 	a.Endpoint = e.ID
@@ -65,7 +65,7 @@
 		}
 		r.log.Emit(event.EndpointCrashed, zap.String("endpoint", e.ID), zap.String("request", c.ID), c.ContentField(),
 			zap.Duration("lasted", a.Lasted), zap.Bool("ran", a.Ran))
-		r.crashes.Crashed(time.Now(), c.Content, a)
+		r.crashes.RecordCrash(time.Now(), c.ContentHash, a)
 	}()
 	select {
 	case <-known:
@@ -107,12 +107,12 @@
 func (r *Router) hasStopped(e *Endpoint) bool {
 	for range crashProbes {
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
-		err := r.endpoints.Alive(ctx, e)
+		err := r.endpoints.Probe(ctx, e)
 		cancel()
 		switch {
 		case err == nil:
 			return false
-		case errorx.IsOfType(err, ErrAbsent) || errorx.IsOfType(err, ErrMoved):
+		case errorx.IsOfType(err, ErrNotListening) || errorx.IsOfType(err, ErrReplaced):
 			return true
 		}
 		time.Sleep(crashProbeInterval)
--- a/router/poison_test.go
+++ b/router/poison_test.go
@@ -24,8 +24,8 @@
 func (f *crashingEndpoints) Call(ctx context.Context, e *router.Endpoint, c *router.Call) (*router.Answer, error) {
 	switch {
 	case f.crashed[e.ID]:
-		return nil, router.ErrAbsent.New("connection refused")
-	case c.Content != poisonContent:
+		return nil, router.ErrNotListening.New("connection refused")
+	case c.ContentHash != poisonContent:
 		return f.fakeEndpoints.Call(ctx, e, c)
 	}
 	f.record("crash %s", e.ID)
@@ -45,14 +45,14 @@
 		}
 		f.alive = func(_ context.Context, e *router.Endpoint) error {
 			if f.crashed[e.ID] {
-				return router.ErrAbsent.New("connection refused")
+				return router.ErrNotListening.New("connection refused")
 			}
 			return nil
 		}
 		r := newRouterOf(f, list...)
 		send := func(content uint64) *router.Failure {
 			c := newCall(idempotentRoute, app)
-			c.Content = content
+			c.ContentHash = content
 			_, fail := r.Call(t.Context(), c)
 			time.Sleep(time.Second)
 			return fail
@@ -62,8 +62,8 @@
 		}
 		assert.Len(t, f.crashed, 3)
 		fail := send(poisonContent)
-		assert.Equal(t, router.NotRun, fail.Why)
-		assert.Equal(t, time.Minute, fail.Retry)
+		assert.Equal(t, router.NotRun, fail.Reason)
+		assert.Equal(t, time.Minute, fail.RetryAfter)
 		assert.Nil(t, send(1))
 	})
 }
@@ -88,12 +88,12 @@
 		r := newRouter(f, list...)
 		send := func() *router.Failure {
 			c := newCall(nonIdempotentRoute, app)
-			c.Content = poisonContent
+			c.ContentHash = poisonContent
 			_, fail := r.Call(t.Context(), c)
 			return fail
 		}
 		for range workers {
-			assert.Equal(t, router.Unknown, send().Why)
+			assert.Equal(t, router.Unknown, send().Reason)
 		}
 		assert.Nil(t, send())
 	})
--- a/router/prefill.go
+++ b/router/prefill.go
@@ -17,7 +17,7 @@
 const minResultLife = 30 * time.Millisecond
 
 // prefill computes the prompt's KV cache at the placement's prefill endpoint.
-func (g *generationRun) prefill(ctx context.Context, a admission) (*Result, error) {
+func (g *generationRun) prefill(ctx context.Context, a admission) (*PrefillResult, error) {
 	r, c, p := g.r, g.c, a.placement
 	if err := g.chargeArrival(); err != nil {
 		return nil, err
@@ -27,8 +27,8 @@
 		return nil, errBudget.New("the retry budget is exhausted: no charge left to decode the prompt")
 	}
 	began := time.Now()
-	tokens := r.loads.View(began, p.prefill.ID).Prefill + c.Prompt
-	work := r.loads.Begin(p.prefill.ID, Load{Prefill: c.Prompt})
+	tokens := r.loads.View(began, p.prefill.ID).PrefillTokens + c.PromptTokens
+	work := r.loads.Begin(p.prefill.ID, Load{PrefillTokens: c.PromptTokens})
 	defer work.End()
 	stage, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -46,8 +46,8 @@
 	}
 	g.prefillAccepted()
 	r.loads.RecordPrefill(time.Now(), p.prefill, c.Service, tokens, took)
-	r.log.Emit(event.PromptComputed, zap.String("request", c.ID), zap.String("endpoint", p.prefill.ID),
-		zap.Int("tokens", c.Prompt), zap.Int("ahead", tokens-c.Prompt), zap.Duration("took", took), zap.Duration("estimate", p.prefillTime.Mean))
+	r.log.Emit(event.PrefillDone, zap.String("request", c.ID), zap.String("endpoint", p.prefill.ID),
+		zap.Int("tokens", c.PromptTokens), zap.Int("ahead", tokens-c.PromptTokens), zap.Duration("took", took), zap.Duration("estimate", p.prefillTime.Mean))
 	return res, nil
 }
 
@@ -55,7 +55,7 @@
 func (g *generationRun) prefillFailed(ctx context.Context, e *Endpoint, tokens int, took time.Duration, v verdict, err error) {
 	now := time.Now()
 	if v == hanging {
-		g.r.loads.Learn(g.c.Service, func(m *estimate.Engines) { m.PromptLost(tokens, took) })
+		g.r.loads.Learn(g.c.Service, func(m *estimate.EngineModel) { m.RecordAbandonedPrefill(tokens, took) })
 	}
 	switch {
 	case v != undecided:
@@ -73,8 +73,8 @@
 // prefillError classifies the error of a prefill without a result.
 func prefillError(e *Endpoint, err error) error {
 	switch {
-	case errorx.IsOfType(err, ErrAbsent):
-		return ErrAbsent.Wrap(err, "prefill at %s", e.ID)
+	case errorx.IsOfType(err, ErrNotListening):
+		return ErrNotListening.Wrap(err, "prefill at %s", e.ID)
 	case errorx.IsOfType(err, ErrUnreachable):
 		return ErrUnreachable.Wrap(err, "prefill at %s", e.ID)
 	case errorx.IsOfType(err, ErrNotRun):
@@ -100,7 +100,7 @@
 
 // result returns the prompt's KV cache for a placement: the kept result or a new one. It
 // is nil if the decode endpoint prefills the prompt itself.
-func (g *generationRun) result(ctx context.Context, a admission) (*Result, error) {
+func (g *generationRun) result(ctx context.Context, a admission) (*PrefillResult, error) {
 	kept := g.kept
 	g.kept = nil
 	if kept != nil {
@@ -131,7 +131,7 @@
 }
 
 // recordWasted records a prefill whose result was not used.
-func (g *generationRun) recordWasted(res *Result) {
-	g.r.metrics.Add("wasted_prefill_tokens", int64(g.c.Prompt))
+func (g *generationRun) recordWasted(res *PrefillResult) {
+	g.r.metrics.Add("wasted_prefill_tokens", int64(g.c.PromptTokens))
 	g.r.log.Emit(event.ResultWasted, zap.String("request", g.c.ID), zap.String("endpoint", res.Endpoint.ID))
 }
--- a/router/quota.go
+++ b/router/quota.go
@@ -31,15 +31,15 @@
 		why = NotRun // this process has no share of the limit, and the workspace may be far below it
 	}
 	return &Failure{
-		Why:   why,
-		Retry: min(r.jitter(v.Wait, quotaRetrySpread), time.Duration(maxRetryFraction*float64(c.Wait))),
-		Cause: errQuota.New("workspace %s is at its limit: %d tokens requested, level %.0f, share of the limit %.2f", c.Workspace.Name, c.Tokens, v.Level, v.Share),
+		Reason:     why,
+		RetryAfter: min(r.jitter(v.Wait, quotaRetrySpread), time.Duration(maxRetryFraction*float64(c.Timeout))),
+		Cause:      errQuota.New("workspace %s is at its limit: %d tokens requested, level %.0f, share of the limit %.2f", c.Workspace.Name, c.Tokens, v.Level, v.Share),
 	}
 }
 
 // refund returns the tokens of a call that did not run.
 func (r *Router) refund(c *Call, f *Failure) {
-	if c.Workspace != nil && f != nil && f.Why == NotRun {
+	if c.Workspace != nil && f != nil && f.Reason == NotRun {
 		r.quotas.Return(time.Now(), c.Workspace.ID, c.Tokens)
 	}
 }
--- a/router/quota_test.go
+++ b/router/quota_test.go
@@ -14,16 +14,16 @@
 // newLimited returns the router of a sole entry, and a workspace with a limit.
 func newLimited(f *fakeEndpoints, l quota.Limit, endpoints ...*router.Endpoint) (*router.Router, *router.Workspace) {
 	r := newRouter(f, endpoints...)
-	w := &router.Workspace{Name: "school", ID: quota.NewID("school"), Rank: router.NoRank, Limit: l, PlainTokens: 200}
+	w := &router.Workspace{Name: "school", ID: quota.NewID("school"), Rank: router.NoRank, Limit: l, PlainCost: 200}
 	d := router.NewDirectory(2, 0, nil, []*router.Service{llm, app}, endpoints)
 	r.SetDirectory(d.WithWorkspaces([]*router.Workspace{w}))
-	r.SetEntries(1)
+	r.SetFleetSize(1)
 	return r, w
 }
 
 func (w *limitedCall) send(r *router.Router, t *testing.T) *router.Failure {
 	c := newCall(w.route, app)
-	c.Workspace, c.Tokens = w.workspace, w.workspace.Count(0)
+	c.Workspace, c.Tokens = w.workspace, w.workspace.Cost(0)
 	_, fail := r.Call(t.Context(), c)
 	return fail
 }
@@ -61,7 +61,7 @@
 		r, w := newLimited(f, quota.Limit{Rate: 200, Burst: 400}, plain("a"))
 		call := &limitedCall{nonIdempotentRoute, w}
 		for range 20 {
-			assert.Equal(t, router.NotRun, call.send(r, t).Why)
+			assert.Equal(t, router.NotRun, call.send(r, t).Reason)
 		}
 		full = false
 		assert.Nil(t, call.send(r, t))
@@ -78,9 +78,9 @@
 		r, w := newLimited(f, quota.Limit{Rate: 200, Burst: 400}, plain("a"))
 		call := &limitedCall{nonIdempotentRoute, w}
 		for range 2 {
-			assert.Equal(t, router.Unknown, call.send(r, t).Why)
+			assert.Equal(t, router.Unknown, call.send(r, t).Reason)
 		}
-		assert.Equal(t, router.OverQuota, call.send(r, t).Why)
+		assert.Equal(t, router.OverQuota, call.send(r, t).Reason)
 	})
 }
 
--- a/router/resume_test.go
+++ b/router/resume_test.go
@@ -26,15 +26,15 @@
 			asked := 0
 			for i := range generations {
 				c := newCall(resumableRoute, llm)
-				c.Content = uint64(i + 1)
+				c.ContentHash = uint64(i + 1)
 				first := &fakeEndpoints{}
 				_, fail := newRouter(first, list...).Generate(t.Context(), c, new(fakeSink))
 				require.Nil(t, fail)
 				at := localPrefills(first.recorded())[0]
 
 				after := &fakeEndpoints{cached: map[string]string{"s1": at}}
-				c.Began, c.Resume = time.Now(), 2
-				c.Deadline = c.Began.Add(c.Wait)
+				c.ReceivedAt, c.ResumeAfter = time.Now(), 2
+				c.Deadline = c.ReceivedAt.Add(c.Timeout)
 				_, fail = newRouter(after, list...).Generate(t.Context(), c, new(fakeSink))
 				require.Nil(t, fail)
 				assert.Equal(t, []string{at}, localPrefills(after.recorded()))
--- a/router/router.go
+++ b/router/router.go
@@ -25,16 +25,16 @@
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
-	// Quota is the tolerated overrun of workspace limits.
-	Quota quota.Tolerance
+	// QuotaTolerance is the tolerated overrun of workspace limits.
+	QuotaTolerance quota.Tolerance
 	// EndpointTolerance is the tolerated overrun of the limits that endpoints advertise.
 	EndpointTolerance quota.Tolerance
 	// Restarted says that this process may have run before. An earlier incarnation may
 	// then have used its share of the slack only moments ago.
 	Restarted bool
-	// Alone says that no other entry shares the retry budget, until SetEntries reports
+	// SingleEntry says that no other entry shares the retry budget, until SetFleetSize reports
 	// others.
-	Alone bool
+	SingleEntry bool
 	// Chooser is set for fleets with an agent in front of each endpoint; see Chooser.
 	Chooser Chooser
 }
@@ -43,9 +43,9 @@
 // use.
 type Router struct {
 	set        Settings
-	endpoints  Endpoints
-	loads      *Loads
-	crashes    *poison.Ledger
+	endpoints  EndpointClient
+	loads      *LoadTracker
+	crashes    *poison.Detector
 	quotas     *quota.Ledger
 	log        *event.Log
 	metrics    *metrics.Set
@@ -53,7 +53,7 @@
 	cacheIndex cacheIndex
 
 	mu      sync.Mutex
-	budgets map[string]*limit.SharedBudget
+	budgets map[string]*limit.RetryBudget
 	rnd     *rand.Rand
 	// draining maps the ID of each endpoint that reported that it is draining to the time
 	// it was last published.
@@ -65,25 +65,25 @@
 }
 
 // New returns a router with an empty directory.
-func New(set Settings, endpoints Endpoints, log *event.Log, m *metrics.Set) *Router {
+func New(set Settings, endpoints EndpointClient, log *event.Log, m *metrics.Set) *Router {
 	r := &Router{
 		set:       set,
 		endpoints: endpoints,
-		loads:     NewLoads(),
-		crashes:   poison.NewLedger(),
+		loads:     NewLoadTracker(),
+		crashes:   poison.NewDetector(),
 		quotas: quota.NewLedger(quota.Settings{
-			Tolerance: set.Quota, EndpointTolerance: set.EndpointTolerance,
-			Started: time.Now(), Restarted: set.Restarted, Alone: set.Alone, Seed: rand.Uint64(),
+			Tolerance: set.QuotaTolerance, EndpointTolerance: set.EndpointTolerance,
+			Started: time.Now(), Restarted: set.Restarted, SingleEntry: set.SingleEntry, Seed: rand.Uint64(),
 		}),
 		log:             log,
 		metrics:         m,
-		budgets:         make(map[string]*limit.SharedBudget),
+		budgets:         make(map[string]*limit.RetryBudget),
 		draining:        make(map[string]time.Time),
 		crashChecks:     make(map[string]*crashCheck),
 		longestTimeouts: make(map[string]time.Duration),
 		rnd:             rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
-	r.crashes.Found = r.poisonFound
+	r.crashes.OnBlocked = r.poisonFound
 	r.directory.Store(NewDirectory(0, 0, nil, nil, nil))
 	return r
 }
@@ -109,14 +109,14 @@
 }
 
 // Loads returns the load and health records of the endpoints.
-func (r *Router) Loads() *Loads { return r.loads }
+func (r *Router) Loads() *LoadTracker { return r.loads }
 
-// SetEntries sets the number of entries that share the retry budget and the limits. It
+// SetFleetSize sets the number of entries that share the retry budget and the limits. It
 // includes entries that are no longer heard from.
-func (r *Router) SetEntries(n int) { r.quotas.SetEntries(n) }
+func (r *Router) SetFleetSize(n int) { r.quotas.SetFleetSize(n) }
 
-// SetBudget changes the parameters of the retry budget.
-func (r *Router) SetBudget(ratio float64, window time.Duration, slack float64) {
+// SetRetryBudget changes the parameters of the retry budget.
+func (r *Router) SetRetryBudget(ratio float64, window time.Duration, slack float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.set.RetryRatio == ratio && r.set.RetryWindow == window && r.set.RetrySlack == slack {
@@ -128,11 +128,11 @@
 	}
 }
 
-func (r *Router) newBudget() *limit.SharedBudget {
-	return limit.NewSharedBudget(r.set.RetryRatio, r.set.RetryWindow)
+func (r *Router) newBudget() *limit.RetryBudget {
+	return limit.NewRetryBudget(r.set.RetryRatio, r.set.RetryWindow)
 }
 
-func (r *Router) budget(service string) *limit.SharedBudget {
+func (r *Router) budget(service string) *limit.RetryBudget {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.budgets[service]
@@ -140,13 +140,13 @@
 		b = r.newBudget()
 		r.budgets[service] = b
 	}
-	b.SetSlack(r.quotas.Part(time.Now(), r.set.RetrySlack, r.set.RetryWindow))
+	b.SetSlack(r.quotas.FixedShare(time.Now(), r.set.RetrySlack, r.set.RetryWindow))
 	return b
 }
 
-// Share picks one of the route's services at random, by weight. It returns nil if no
+// PickService picks one of the route's services at random, by weight. It returns nil if no
 // service has a weight.
-func (r *Router) Share(d *Directory, route *Route) *Service {
+func (r *Router) PickService(d *Directory, route *Route) *Service {
 	total := 0
 	for _, s := range route.Services {
 		total += s.Weight
--- a/router/run.go
+++ b/router/run.go
@@ -22,7 +22,7 @@
 	// warm says that the endpoint probably caches the prompt. result is the prefill
 	// result, or nil.
 	warm   bool
-	result *Result
+	result *PrefillResult
 	sentAt time.Time
 	// prefillTokens counts the tokens of the prompt and of those queued before it at the
 	// endpoint.
@@ -67,7 +67,7 @@
 // onEvent accounts for a delivered event and resets the watchdog.
 func (u *decodeAttempt) onEvent() {
 	u.prefillWork.End()
-	u.work.Grow(Load{KV: u.g.c.stride()})
+	u.work.Grow(Load{KVTokens: u.g.c.stride()})
 	if u.g.mayContinueElsewhere() {
 		u.watchdog.reset(u.g.eventLimits(u.endpoint))
 	} else {
@@ -81,12 +81,12 @@
 		return
 	}
 	u.begun = true
-	u.learn(func(m *estimate.Engines, took time.Duration) {
+	u.learn(func(m *estimate.EngineModel, took time.Duration) {
 		if u.result != nil {
-			m.Begun(u.remoteDC(), took)
+			m.RecordHandoff(u.remoteDC(), took)
 			return
 		}
-		m.BegunAlone(u.prefillTokens, took)
+		m.RecordLocalPrefillTTFT(u.prefillTokens, took)
 	})
 }
 
@@ -96,23 +96,23 @@
 	if u.begun || u.watchdog.verdict() != hanging {
 		return
 	}
-	u.learn(func(m *estimate.Engines, took time.Duration) {
+	u.learn(func(m *estimate.EngineModel, took time.Duration) {
 		if u.result != nil {
-			m.BeginLost(u.remoteDC(), took)
+			m.RecordAbandonedHandoff(u.remoteDC(), took)
 			return
 		}
-		m.AloneLost(u.prefillTokens, took)
+		m.RecordAbandonedLocalPrefill(u.prefillTokens, took)
 	})
 }
 
 // learn updates the estimates of the service's engines. A cached prompt says nothing
 // about the usual times.
-func (u *decodeAttempt) learn(change func(m *estimate.Engines, took time.Duration)) {
+func (u *decodeAttempt) learn(change func(m *estimate.EngineModel, took time.Duration)) {
 	if u.warm || u.g.r.usesAgents() {
 		return
 	}
 	took := time.Since(u.sentAt)
-	u.g.r.loads.Learn(u.g.c.Service, func(m *estimate.Engines) { change(m, took) })
+	u.g.r.loads.Learn(u.g.c.Service, func(m *estimate.EngineModel) { change(m, took) })
 }
 
 // asUnreachable turns the error of an attempt that the watchdog ended while it was still
--- a/router/stages.go
+++ b/router/stages.go
@@ -53,9 +53,9 @@
 	done bool
 }
 
-// KeepStages balances the stages of all services until ctx ends, whenever this process
+// BalanceStages balances the stages of all services until ctx ends, whenever this process
 // has the authority.
-func (r *Router) KeepStages(ctx context.Context, authority Authority) error {
+func (r *Router) BalanceStages(ctx context.Context, authority Authority) error {
 	balancers := make(map[string]*stageBalancer)
 	for ebonypulley.Sleep(ctx, balanceInterval) {
 		now := time.Now()
@@ -133,7 +133,7 @@
 	switch {
 	case d.Calls == 0:
 		return min(int(math.Ceil(initialPrefillFraction*float64(prefills+decodes)))-prefills, 0), load
-	case seen < minDemandTime || m.Prompts() < minPrefills:
+	case seen < minDemandTime || m.PrefillSamples() < minPrefills:
 		return 0, load
 	}
 	return load.moves(prefills, decodes), load
@@ -141,8 +141,8 @@
 
 // switchTime returns how long an engine takes to switch its stage.
 func (e *Engine) switchTime() time.Duration {
-	if e.StageSwitch > 0 {
-		return e.StageSwitch
+	if e.StageSwitchTime > 0 {
+		return e.StageSwitchTime
 	}
 	return defaultSwitchTime
 }
@@ -158,7 +158,7 @@
 	}
 	work := func(e *Endpoint) int {
 		v := r.loads.View(now, e.ID)
-		return v.KV + v.Prefill
+		return v.KVTokens + v.PrefillTokens
 	}
 	best := list[0]
 	for _, e := range list[1:] {
@@ -189,7 +189,7 @@
 // order sends one order and keeps new work away from the engine until it has switched.
 func (r *Router) order(ctx context.Context, e *Endpoint, to Role, fence uint64, load stageLoad) *switchOrder {
 	o := &switchOrder{endpoint: e.ID, to: to, at: time.Now()}
-	o.work = r.loads.Begin(e.ID, Load{Prefill: switchingBacklog, KV: switchingBacklog})
+	o.work = r.loads.Begin(e.ID, Load{PrefillTokens: switchingBacklog, KVTokens: switchingBacklog})
 	octx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	err := r.endpoints.Order(octx, e, to, fence)
--- a/router/stages_test.go
+++ b/router/stages_test.go
@@ -32,7 +32,7 @@
 		r := newRouter(f, list...)
 		ctx, cancel := contextWithCancel(t)
 		var may atomic.Bool
-		go func() { _ = r.KeepStages(ctx, func() (uint64, bool) { return 7, may.Load() }) }()
+		go func() { _ = r.BalanceStages(ctx, func() (uint64, bool) { return 7, may.Load() }) }()
 		time.Sleep(5 * time.Second)
 		assert.Empty(t, f.recorded())
 		may.Store(true)
@@ -54,7 +54,7 @@
 		}
 		r := newRouter(f, all...)
 		ctx, cancel := contextWithCancel(t)
-		go func() { _ = r.KeepStages(ctx, func() (uint64, bool) { return 7, true }) }()
+		go func() { _ = r.BalanceStages(ctx, func() (uint64, bool) { return 7, true }) }()
 		time.Sleep(2 * time.Second)
 		r.SetDirectory(router.NewDirectory(2, 0, nil, []*router.Service{llm}, all[:6]))
 		time.Sleep(10 * time.Second)
--- a/router/stream.go
+++ b/router/stream.go
@@ -53,12 +53,12 @@
 }
 
 // timeToFirstEvent estimates the time from sending a generation to its first event.
-func (g *generationRun) timeToFirstEvent(p placement, start Start) estimate.Time {
+func (g *generationRun) timeToFirstEvent(p placement, start Start) estimate.Duration {
 	if start.Result == nil {
 		return p.firstEvent
 	}
 	m := g.r.loads.Engines(g.c.Service)
-	return m.Handoff(start.Result.Endpoint.DataCentre != p.decode.DataCentre, g.c.slo())
+	return m.HandoffTime(start.Result.Endpoint.DataCentre != p.decode.DataCentre, g.c.slo())
 }
 
 // eventLimits returns the silence limits for the next event of a stream that may continue
@@ -67,16 +67,16 @@
 func (g *generationRun) eventLimits(at *Endpoint) silenceLimits {
 	m := g.r.loads.Engines(g.c.Service)
 	v := g.r.loads.View(time.Now(), at.ID)
-	gap := m.Pause(v.Decodes, g.c.slo()).Times(v.StepSlowdown)
-	l := silenceLimits{probeAfter: max(2*gap.High(), minProbeAfter)}
-	another := m.Alone(g.c.Prompt, g.c.Prompt, g.c.slo()).High()
+	gap := m.EventGap(v.Decodes, g.c.slo()).Scale(v.StepSlowdown)
+	l := silenceLimits{probeAfter: max(2*gap.UpperBound(), minProbeAfter)}
+	another := m.LocalPrefillTTFT(g.c.PromptTokens, g.c.PromptTokens, g.c.slo()).UpperBound()
 	l.giveUpAfter = max(g.silenceTimeout()-another, hangFactor*l.probeAfter)
 	return l
 }
 
 // callerTimeLeft returns how much longer the caller waits for an event.
 func (g *generationRun) callerTimeLeft(now time.Time) time.Duration {
-	since := g.c.Began
+	since := g.c.ReceivedAt
 	if !g.lastEventAt.IsZero() {
 		since = g.lastEventAt
 	}
@@ -85,10 +85,10 @@
 
 // silenceTimeout returns the silence after which the caller leaves.
 func (g *generationRun) silenceTimeout() time.Duration {
-	if p := g.c.Route.Patience; p > 0 {
+	if p := g.c.Route.SilenceTimeout; p > 0 {
 		return p
 	}
-	return silenceTimeoutTargets * g.c.Route.Target
+	return silenceTimeoutTargets * g.c.Route.LatencyTarget
 }
 
 // silenceTimeoutTargets is the silence after which callers leave, in latency targets, if
@@ -99,10 +99,10 @@
 // prompt itself, that counts as its work until the first event.
 func (g *generationRun) exchange(ctx context.Context, p placement, start Start, w *watchdog, work *Work) error {
 	run := &decodeAttempt{g: g, endpoint: p.decode, watchdog: w, work: work, warm: p.warm, result: start.Result, sentAt: time.Now()}
-	run.prefillTokens = g.r.loads.View(run.sentAt, p.decode.ID).Prefill + g.c.Prompt
+	run.prefillTokens = g.r.loads.View(run.sentAt, p.decode.ID).PrefillTokens + g.c.PromptTokens
 	run.prefillWork = g.r.loads.Begin(p.decode.ID, Load{})
 	if start.Result == nil {
-		run.prefillWork.Grow(Load{Prefill: g.c.Prompt})
+		run.prefillWork.Grow(Load{PrefillTokens: g.c.PromptTokens})
 	}
 	defer run.prefillWork.End()
 	s, err := g.r.endpoints.Generate(ctx, p.decode, g.c, start)
@@ -131,7 +131,7 @@
 			return err // it accepted no connection, see asUnreachable
 		}
 		return ErrLost.Wrap(err, "endpoint %s stopped responding", e.ID)
-	case ctx.Err() != nil || errorx.IsOfType(err, ErrCaller):
+	case ctx.Err() != nil || errorx.IsOfType(err, ErrCallerGone):
 	case unanswered(err):
 		g.r.avoid(time.Now(), e, err)
 	default:
@@ -170,7 +170,7 @@
 	}
 	g.begun = true
 	g.policy.begun = true
-	g.ttft = time.Since(g.c.Began)
+	g.ttft = time.Since(g.c.ReceivedAt)
 	g.r.metrics.Histogram("ttft." + g.c.class()).Record(g.ttft)
 	return g.sink.Begin(s.Head())
 }
@@ -178,7 +178,7 @@
 // deliver passes on an event unless the caller has it already. Event numbers decide,
 // because an endpoint may repeat events after a resume.
 func (g *generationRun) deliver(ctx context.Context, s Stream, ev Event, at *Endpoint) error {
-	if ev.Number != NoNumber && ev.Number <= g.lastEvent {
+	if ev.Number != NoEvent && ev.Number <= g.lastEvent {
 		return nil
 	}
 	if err := g.begin(s); err != nil {
@@ -188,7 +188,7 @@
 		return err
 	}
 	g.recordGap(ev, at)
-	if ev.Number != NoNumber {
+	if ev.Number != NoEvent {
 		g.lastEvent = ev.Number
 	}
 	return nil
@@ -228,7 +228,7 @@
 	}
 	v := g.r.loads.View(now, at.ID)
 	before := g.interfered
-	g.interfered = v.Prefill > 0
+	g.interfered = v.PrefillTokens > 0
 	if g.gap <= 0 || g.events < 2 || before != g.interfered {
 		return
 	}
@@ -236,7 +236,7 @@
 		g.r.loads.RecordGap(now, at, g.c.Service, v.Decodes, g.gap)
 		return
 	}
-	g.r.loads.Learn(g.c.Service, func(m *estimate.Engines) {
-		m.Disturbed(v.Decodes, time.Duration(float64(g.gap)/v.StepSlowdown))
+	g.r.loads.Learn(g.c.Service, func(m *estimate.EngineModel) {
+		m.RecordGapWithPrefill(v.Decodes, time.Duration(float64(g.gap)/v.StepSlowdown))
 	})
 }
--- a/router/watch.go
+++ b/router/watch.go
@@ -60,8 +60,8 @@
 // stepLimits returns the silence limits of a step with an estimated duration, given the
 // time until the caller leaves. A live endpoint is abandoned while there is time to try
 // another one, or if there is none, when the caller has left.
-func stepLimits(t estimate.Time, left time.Duration) silenceLimits {
-	high := t.High() + networkAllowance
+func stepLimits(t estimate.Duration, left time.Duration) silenceLimits {
+	high := t.UpperBound() + networkAllowance
 	if 2*high > left {
 		left = max(left, networkAllowance)
 		return silenceLimits{probeAfter: min(high, left), giveUpAfter: left}
@@ -195,7 +195,7 @@
 	defer cancel()
 	answers := make(chan error, probeCount)
 	for range probeCount {
-		go func() { answers <- r.endpoints.Alive(ctx, e) }()
+		go func() { answers <- r.endpoints.Probe(ctx, e) }()
 	}
 	for range probeCount {
 		err := <-answers
--- a/router/watch_test.go
+++ b/router/watch_test.go
@@ -27,7 +27,7 @@
 		}}
 		r := newRouter(f, engine("p1", router.Prefill), engine("p2", router.Prefill), engine("d", router.Decode))
 		trainEstimates(r, 1)
-		r.Loads().Begin("d", router.Load{Prefill: 20000})
+		r.Loads().Begin("d", router.Load{PrefillTokens: 20000})
 		s := new(fakeSink)
 		_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), s)
 		assert.Nil(t, fail)
@@ -61,12 +61,12 @@
 		}
 		r := newRouter(f, engine("p1", router.Prefill), engine("p2", router.Prefill), engine("d", router.Decode))
 		trainEstimates(r, 1)
-		r.Loads().Begin("d", router.Load{Prefill: 20000})
+		r.Loads().Begin("d", router.Load{PrefillTokens: 20000})
 		s := new(fakeSink)
 		c := newCall(resumableRoute, llm)
 		_, fail := r.Generate(t.Context(), c, s)
 		assert.Nil(t, fail)
-		assert.Less(t, s.first.Sub(c.Began), 580*time.Millisecond)
+		assert.Less(t, s.first.Sub(c.ReceivedAt), 580*time.Millisecond)
 		assert.True(t, r.Loads().View(time.Now(), dead).FailureRate > 0)
 	})
 }
@@ -113,7 +113,7 @@
 			return router.ErrNotRun.Wrap(ctx.Err(), "connect")
 		}
 		r := newRouter(f, engine("p1", router.Prefill), engine("d1", router.Decode), engine("d2", router.Decode))
-		r.SetBudget(0, 10*time.Second, 0)
+		r.SetRetryBudget(0, 10*time.Second, 0)
 		trainEstimates(r, 1)
 		s := new(fakeSink)
 		_, fail := r.Generate(t.Context(), newCall(nonResumableRoute, llm), s)
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -44,9 +44,9 @@
 	Tried bool
 }
 
-// Occupied returns the utilization of the endpoint: active, waiting and in-flight
+// Utilization returns the utilization of the endpoint: active, waiting and in-flight
 // requests as a fraction of its capacity. It exceeds 1 when requests wait.
-func (c *Candidate) Occupied() float64 {
+func (c *Candidate) Utilization() float64 {
 	if c.Load.Capacity == 0 {
 		return 1
 	}
@@ -80,8 +80,8 @@
 
 var (
 	scheduleErrors = errorx.NewNamespace("schedule")
-	// ErrNone is returned when no candidate is left after the filters.
-	ErrNone = scheduleErrors.NewType("none")
+	// ErrNoCandidate is returned when no candidate is left after the filters.
+	ErrNoCandidate = scheduleErrors.NewType("none")
 )
 
 type weightedScorer struct {
@@ -159,7 +159,7 @@
 		candidates = f.Filter(req, candidates)
 	}
 	if len(candidates) == 0 {
-		return config.Endpoint{}, ErrNone.New("no endpoint is left after the filters")
+		return config.Endpoint{}, ErrNoCandidate.New("no endpoint is left after the filters")
 	}
 	scored := make([]Scored, len(candidates))
 	for i := range candidates {
--- a/settings/platform.go
+++ b/settings/platform.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// PlatformEntry reads the settings of an entry on the platform.
-func PlatformEntry(file string) (platform.Settings, error) {
+// LoadPlatformEntry reads the settings of an entry on the platform.
+func LoadPlatformEntry(file string) (platform.Settings, error) {
 	s := platform.Settings{QuotaWindow: DefaultPlatformEntry().QuotaWindow}
 	err := load(file, &s,
 		required("name", &s.Name),
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Entry reads the settings of an entry.
-func Entry(file string) (entry.Settings, error) {
+// LoadEntry reads the settings of an entry.
+func LoadEntry(file string) (entry.Settings, error) {
 	var s entry.Settings
 	err := load(file, &s,
 		required("name", &s.Name),
@@ -115,8 +115,8 @@
 	}
 }
 
-// Agent reads the settings of an agent.
-func Agent(file string) (agent.Settings, error) {
+// LoadAgent reads the settings of an agent.
+func LoadAgent(file string) (agent.Settings, error) {
 	var s agent.Settings
 	err := load(file, &s,
 		required("name", &s.Name),
@@ -133,8 +133,8 @@
 	return standin.Settings{Kind: standin.KindEngine, Listen: "127.10.1.31:8000"}
 }
 
-// Standin reads the settings of a stand-in.
-func Standin(file string) (standin.Settings, error) {
+// LoadStandin reads the settings of a stand-in.
+func LoadStandin(file string) (standin.Settings, error) {
 	var s standin.Settings
 	kind := func(src *jsonc.Source, report func(jsonc.Finding)) {
 		if !s.Kind.Valid() {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -22,21 +22,21 @@
 func TestDefaultsAreValid(t *testing.T) {
 	text, err := settings.Format(settings.DefaultEntry())
 	require.NoError(t, err)
-	e, err := settings.Entry(writeFile(t, string(text)))
+	e, err := settings.LoadEntry(writeFile(t, string(text)))
 	require.NoError(t, err)
 	assert.Equal(t, settings.DefaultEntry(), e)
 	text, err = settings.Format(settings.DefaultAgent())
 	require.NoError(t, err)
-	_, err = settings.Agent(writeFile(t, string(text)))
+	_, err = settings.LoadAgent(writeFile(t, string(text)))
 	assert.NoError(t, err)
 	text, err = settings.Format(settings.DefaultStandin())
 	require.NoError(t, err)
-	_, err = settings.Standin(writeFile(t, string(text)))
+	_, err = settings.LoadStandin(writeFile(t, string(text)))
 	assert.NoError(t, err)
 }
 
 func TestAllFindingsAreReported(t *testing.T) {
-	_, err := settings.Entry(writeFile(t, `{
+	_, err := settings.LoadEntry(writeFile(t, `{
   // a comment
   "data_centre": "alm-a",
   "listen": "somewhere",
@@ -50,9 +50,9 @@
 	} {
 		assert.ErrorContains(t, err, want)
 	}
-	_, err = settings.Entry(writeFile(t, `{"listn": ""}`))
+	_, err = settings.LoadEntry(writeFile(t, `{"listn": ""}`))
 	assert.ErrorContains(t, err, `unknown field "listn"`)
-	_, err = settings.Entry("no such file")
+	_, err = settings.LoadEntry("no such file")
 	assert.Error(t, err)
 }
 
@@ -61,10 +61,10 @@
 func TestPlatformEntrySettings(t *testing.T) {
 	text, err := settings.Format(settings.DefaultPlatformEntry())
 	require.NoError(t, err)
-	got, err := settings.PlatformEntry(writeFile(t, string(text)))
+	got, err := settings.LoadPlatformEntry(writeFile(t, string(text)))
 	require.NoError(t, err)
 	assert.Equal(t, settings.DefaultPlatformEntry(), got)
-	_, err = settings.PlatformEntry(writeFile(t, `{
+	_, err = settings.LoadPlatformEntry(writeFile(t, `{
   "quota_window": "0s",
   "quota_overrun": -0.1,
   "quota_slack": -1
@@ -79,7 +79,7 @@
 func TestFractionalRetrySlack(t *testing.T) {
 	text, err := settings.Format(settings.DefaultPlatformEntry())
 	require.NoError(t, err)
-	got, err := settings.PlatformEntry(writeFile(t, strings.Replace(string(text), `"retry_slack": 50`, `"retry_slack": 36.18`, 1)))
+	got, err := settings.LoadPlatformEntry(writeFile(t, strings.Replace(string(text), `"retry_slack": 50`, `"retry_slack": 36.18`, 1)))
 	require.NoError(t, err)
 	assert.InDelta(t, 36.18, got.RetrySlack, 0.001)
 }
--- a/soak/agent.go
+++ b/soak/agent.go
@@ -62,7 +62,7 @@
 	a.offered = make(map[wire.ID]bool)
 	a.staleLeases = make(map[wire.ID]*staleLease)
 	a.leases = lease.NewTable(capacity, leaseTTL)
-	a.server = attempt.NewServer(a.w.now, a.incarnation, a.leases, attempt.KeyLimits{Window: keyWindow, Count: maxKeys}, a)
+	a.server = attempt.NewServer(a.w.now, a.incarnation, a.leases, attempt.KeyLimits{Window: keyWindow, MaxKeys: maxKeys}, a)
 	a.w.note("agent %d starts as %s", a.index, a.incarnation)
 }
 
@@ -112,7 +112,7 @@
 // their holders' heartbeats can be read first.
 func (a *agent) extendAfterPause() {
 	if a.w.now.Sub(a.lastTick) > pauseThreshold {
-		a.leases.Grace(a.w.now, pauseThreshold)
+		a.leases.ExtendHolders(a.w.now, pauseThreshold)
 	}
 	a.lastTick = a.w.now
 }
@@ -123,10 +123,10 @@
 		case lease.WasGranted:
 			a.server.Granted(c.ID)
 		case lease.WaitEnded:
-			a.server.Dropped(a.w.now, c.ID, c.Reason)
+			a.server.WaitEnded(a.w.now, c.ID, c.Reason)
 		case lease.Expired:
 			a.w.note("agent %d: lease of %s expired", a.index, c.ID)
-			a.server.Expired(a.w.now, c.ID)
+			a.server.LeaseExpired(a.w.now, c.ID)
 		}
 	}
 	a.updatePhases()
@@ -162,13 +162,13 @@
 		a.leases.Renew(now, holder)
 		a.w.links[pair{e.index, a.index}].toEntry(holder, &wire.Pong{Load: wire.Load{Draining: a.draining}})
 	case *wire.Offer:
-		if a.draining && !a.server.Known(m.ID) {
-			a.Reply(holder, &wire.Refused{ID: m.ID, Reason: wire.Draining})
+		if a.draining && !a.server.Tracks(m.ID) {
+			a.Reply(holder, &wire.Refused{ID: m.ID, Reason: wire.ReasonDraining})
 			return
 		}
 		a.offered[m.ID] = true
 		a.server.Offer(now, holder, m)
-		if t := a.w.attempts[m.ID]; t != nil && t.phase == Offering && a.server.Known(m.ID) {
+		if t := a.w.attempts[m.ID]; t != nil && t.phase == Offering && a.server.Tracks(m.ID) {
 			t.phase = Waiting
 		}
 	case *wire.Start:
--- a/soak/entry.go
+++ b/soak/entry.go
@@ -173,8 +173,8 @@
 		w.after(w.between(0, timeout), ifOpen(func() { e.abandon(c) }))
 	}
 	w.after(timeout, ifOpen(func() {
-		e.apply(c, c.machine.Expire())
-		w.after(withdrawTimeout, ifOpen(func() { e.apply(c, c.machine.Settled()) }))
+		e.apply(c, c.machine.DeadlinePassed())
+		w.after(withdrawTimeout, ifOpen(func() { e.apply(c, c.machine.Abandon()) }))
 	}))
 }
 
@@ -183,21 +183,21 @@
 	if s.Send != nil {
 		e.w.links[pair{e.index, c.agent}].toAgent(s.Send)
 	}
-	if s.End == nil {
+	if s.Result == nil {
 		return
 	}
-	e.w.note("entry %d ends %s: %s", e.index, c.id, dispositions[s.End.Fate])
-	e.w.report.Outcomes[dispositions[s.End.Fate]]++
-	switch s.End.Fate {
+	e.w.note("entry %d ends %s: %s", e.index, c.id, dispositions[s.Result.Disposition])
+	e.w.report.Outcomes[dispositions[s.Result.Disposition]]++
+	switch s.Result.Disposition {
 	case attempt.Refused, attempt.NotRun:
 		e.w.recordNotRun(c.id)
 	case attempt.Answered:
-		e.checkAnswer(c, s.End.Outcome)
+		e.checkAnswer(c, s.Result.Outcome)
 	}
 	e.abandon(c)
 }
 
-var dispositions = map[attempt.Fate]string{
+var dispositions = map[attempt.Disposition]string{
 	attempt.Answered: "answered", attempt.Refused: "refused", attempt.NotRun: "not-run", attempt.Unknown: "unknown",
 }
 
@@ -230,8 +230,8 @@
 		if t := e.w.attempts[m.ID]; t != nil {
 			t.phase = Ended
 		}
-	case wire.Attempted:
-		if c, ok := e.attempts[m.Attempt()]; ok {
+	case wire.AttemptMessage:
+		if c, ok := e.attempts[m.AttemptID()]; ok {
 			e.apply(c, c.machine.Receive(m))
 		}
 	}
@@ -256,7 +256,7 @@
 		e.w.after(reconnectTimeout, func() {
 			e.deliver(func() {
 				if e.attempts[c.id] == c && c.downSince.Equal(since) {
-					e.apply(c, c.machine.Lost())
+					e.apply(c, c.machine.AgentLost())
 				}
 			})
 		})
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -87,6 +87,6 @@
 	case EntryCrash, EntryPause:
 		return ofEntry
 	default:
-		return a.up && (a.server.Known(id) || ofEntry && c.agent == a.index)
+		return a.up && (a.server.Tracks(id) || ofEntry && c.agent == a.index)
 	}
 }
--- a/soak/processes/caller.go
+++ b/soak/processes/caller.go
@@ -71,7 +71,7 @@
 	}
 	req.Host = "app.example"
 	standin.SetClientHeaders(req.Header, id, callerTimeout)
-	standin.SetKey(req.Header, caller.key)
+	standin.SetWorkspaceKey(req.Header, caller.key)
 	if k.stream {
 		standin.SetPromptHeaders(req.Header, promptTokens, outputTokens, r.randomInt(1<<20))
 	}
--- a/soak/processes/check.go
+++ b/soak/processes/check.go
@@ -82,7 +82,7 @@
 		}
 		req.Host = "app.example"
 		standin.SetClientHeaders(req.Header, attemptID("recovered-"+e.name, identity{workspace: school}), callerTimeout)
-		standin.SetKey(req.Header, schoolKey)
+		standin.SetWorkspaceKey(req.Header, schoolKey)
 		resp, err := client.Do(req)
 		if err != nil {
 			r.violation("%s does not answer %s after the last fault: %v", e.name, recoveryTime, err)
--- a/soak/processes/worker.go
+++ b/soak/processes/worker.go
@@ -130,28 +130,28 @@
 // ServeHTTP implements http.Handler.
 func (k *worker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, err := io.ReadAll(r.Body)
-	c := standin.ReadWorkerCall(r)
+	c := standin.ReadWorkerHeaders(r)
 	switch {
 	case err != nil:
 		panic(http.ErrAbortHandler)
-	case c.Expected != k.instanceID():
-		standin.AnswerHead(w.Header(), c.ID)
+	case c.ExpectedIncarnation != k.instanceID():
+		standin.SetAnswerHeaders(w.Header(), c.AttemptID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
-	case standin.AnswerOwn(w, r):
-	case c.Key != "" || c.Workspace != workspaceOf(c.ID):
-		k.onViolation("request %s reached %s as one of %q, with key %q", c.ID, k.instanceID(), c.Workspace, c.Key)
+	case standin.ServeEngineAPI(w, r):
+	case c.Key != "" || c.Workspace != workspaceOf(c.AttemptID):
+		k.onViolation("request %s reached %s as one of %q, with key %q", c.AttemptID, k.instanceID(), c.Workspace, c.Key)
 	case k.hanging.Load():
 		<-r.Context().Done()
 	case c.Prefill:
-		standin.AnswerHead(w.Header(), c.ID)
-		standin.AnswerPrefill(w)
+		standin.SetAnswerHeaders(w.Header(), c.AttemptID)
+		standin.WritePrefillAnswer(w)
 	default:
 		k.serveRequest(w, r, c)
 	}
 }
 
-func (k *worker) serveRequest(w http.ResponseWriter, r *http.Request, c standin.WorkerCall) {
-	id := c.ID
+func (k *worker) serveRequest(w http.ResponseWriter, r *http.Request, c standin.WorkerHeaders) {
+	id := c.AttemptID
 	tokens := plainTokens
 	if k.stage != "" {
 		tokens = promptTokens + outputTokens
@@ -161,7 +161,7 @@
 	k.mu.Lock()
 	k.lastStart = time.Now()
 	k.mu.Unlock()
-	standin.AnswerHead(w.Header(), id)
+	standin.SetAnswerHeaders(w.Header(), id)
 	if k.stage == "" {
 		time.Sleep(callTime)
 		_, _ = io.WriteString(w, "answer to "+id)
@@ -169,7 +169,7 @@
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	ctl := http.NewResponseController(w)
-	for i := c.After + 1; i <= streamEvents; i++ {
+	for i := c.LastEvent + 1; i <= streamEvents; i++ {
 		select {
 		case <-r.Context().Done():
 			return
--- a/source/source.go
+++ b/source/source.go
@@ -25,8 +25,8 @@
 
 // States of a VM. One that is Leaving is about to be removed.
 const (
-	Live    VMState = "live"
-	Leaving VMState = "leaving"
+	VMLive    VMState = "live"
+	VMLeaving VMState = "leaving"
 )
 
 // VM is one VM of the list. It has the name of its endpoint or entry.
@@ -35,8 +35,8 @@
 	State VMState `json:"state"`
 }
 
-// VMs is the body of the response to GET /v1/vms.
-type VMs struct {
+// VMList is the body of the response to GET /v1/vms.
+type VMList struct {
 	VMs []VM `json:"vms"`
 }
 
@@ -72,25 +72,25 @@
 	maxDocument = 1 << 20
 )
 
-// Watcher watches the configuration service and offers its documents to a store.
-type Watcher struct {
+// ConfigWatcher watches the configuration service and offers its documents to a store.
+type ConfigWatcher struct {
 	URL   string
 	Store *config.Store
 	Log   *event.Log
-	// Needed, if set, reports whether to read; it is called before each read. Processes
+	// ShouldRead, if set, reports whether to read; it is called before each read. Processes
 	// that receive the document from peers read only while those are silent.
-	Needed func() bool
-	HTTP   *http.Client
+	ShouldRead func() bool
+	HTTP       *http.Client
 }
 
 // Run reads until ctx ends. The service may be unavailable or serve an old document
 // for long; the store refuses older documents.
-func (w *Watcher) Run(ctx context.Context) error {
+func (w *ConfigWatcher) Run(ctx context.Context) error {
 	var etag string
 	backoff := minBackoff
 	unreachable := false
 	for ctx.Err() == nil {
-		if w.Needed != nil && !w.Needed() {
+		if w.ShouldRead != nil && !w.ShouldRead() {
 			ebonypulley.Sleep(ctx, maxBackoff/2)
 			continue
 		}
@@ -115,18 +115,18 @@
 		etag = next
 		if text != nil {
 			result, findings := w.Store.Offer("configuration service", text)
-			config.LogVerdict(w.Log, result, w.Store.Generation(), findings)
+			config.LogOfferResult(w.Log, result, w.Store.Generation(), findings)
 		}
 	}
 	return nil
 }
 
-func (w *Watcher) fetch(ctx context.Context, etag string) ([]byte, string, error) {
+func (w *ConfigWatcher) fetch(ctx context.Context, etag string) ([]byte, string, error) {
 	wait := WatchWait
 	if etag == "" {
 		wait = 0
 	}
-	read := stall.Start(ctx, stall.Limits{Begin: wait + watchMargin, Idle: stallTimeout, Most: maxReadTime})
+	read := stall.Start(ctx, stall.Limits{FirstByte: wait + watchMargin, Idle: stallTimeout, Transfer: maxReadTime})
 	defer read.End()
 	q := url.Values{"etag": {etag}, "wait": {wait.String()}}
 	resp, err := get(read.Context(), w.HTTP, w.URL+"/v1/config?"+q.Encode())
@@ -181,7 +181,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	var list VMs
+	var list VMList
 	if resp.StatusCode != http.StatusOK {
 		return ErrUnavailable.New("status %d", resp.StatusCode)
 	}
@@ -190,7 +190,7 @@
 	}
 	var leaving []string
 	for _, vm := range list.VMs {
-		if vm.State == Leaving {
+		if vm.State == VMLeaving {
 			leaving = append(leaving, vm.Name)
 		}
 	}
--- a/source/source_test.go
+++ b/source/source_test.go
@@ -27,7 +27,7 @@
 func TestLargeDocumentOnNarrowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := simnet.New()
-		n.Limit(func(process string) float64 {
+		n.SetBandwidth(func(process string) float64 {
 			if process == "entry" {
 				return 10e6 / 8 / 5
 			}
@@ -39,7 +39,7 @@
 		server := &http.Server{Handler: standin.NewConfigService(text)}
 		go func() { _ = server.Serve(ln) }()
 		ctx, cancel := context.WithCancel(t.Context())
-		w := &source.Watcher{URL: "http://service:1", Store: new(config.Store), Log: event.Nop(), HTTP: n.Dialer("entry").HTTPClient(true)}
+		w := &source.ConfigWatcher{URL: "http://service:1", Store: new(config.Store), Log: event.Nop(), HTTP: n.Dialer("entry").HTTPClient(true)}
 		go func() { _ = w.Run(ctx) }()
 		time.Sleep(5 * time.Second)
 		assert.NotNil(t, w.Store.Current())
--- a/stall/stall.go
+++ b/stall/stall.go
@@ -25,10 +25,10 @@
 
 // Limits bound the time of one read.
 type Limits struct {
-	// Begin is the time until the first byte of the answer, Idle the gap between later ones.
-	Begin, Idle time.Duration
-	// Most bounds the total time after Begin.
-	Most time.Duration
+	// FirstByte is the time until the first byte of the answer, Idle the gap between later ones.
+	FirstByte, Idle time.Duration
+	// Transfer bounds the total time after Begin.
+	Transfer time.Duration
 }
 
 // Read is a read in progress.
@@ -44,8 +44,8 @@
 func Start(ctx context.Context, l Limits) *Read {
 	r := &Read{idle: l.Idle}
 	r.ctx, r.cancel = context.WithCancelCause(ctx)
-	r.idleTimer = time.AfterFunc(l.Begin, func() { r.cancel(ErrStalled.New("no byte received in time")) })
-	r.totalTimer = time.AfterFunc(l.Begin+l.Most, func() { r.cancel(ErrTooSlow.New("incomplete after %v", l.Most)) })
+	r.idleTimer = time.AfterFunc(l.FirstByte, func() { r.cancel(ErrStalled.New("no byte received in time")) })
+	r.totalTimer = time.AfterFunc(l.FirstByte+l.Transfer, func() { r.cancel(ErrTooSlow.New("incomplete after %v", l.Transfer)) })
 	return r
 }
 
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -13,7 +13,7 @@
 	"ebonypulley/stall"
 )
 
-var limits = stall.Limits{Begin: time.Second, Idle: 500 * time.Millisecond, Most: 10 * time.Second}
+var limits = stall.Limits{FirstByte: time.Second, Idle: 500 * time.Millisecond, Transfer: 10 * time.Second}
 
 // read reads an answer whose pieces arrive one per pause.
 func read(t *testing.T, ctx context.Context, pieces int, pause time.Duration) (n int, err error) {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -16,8 +16,8 @@
 
 // EngineSettings configure the timing model and the behaviour of an engine.
 type EngineSettings struct {
-	// Requests is the number of requests that fit into memory. Default 20.
-	Requests int `json:"requests"`
+	// MaxRequests is the number of requests that fit into memory. Default 20.
+	MaxRequests int `json:"requests"`
 	// StepBase is the part of a decode step's time that does not depend on the
 	// batch. Default 8ms.
 	StepBase jsonc.Duration `json:"step_base"`
@@ -47,7 +47,7 @@
 }
 
 func (s *EngineSettings) setDefaults() {
-	s.Requests = cmp.Or(s.Requests, 20)
+	s.MaxRequests = cmp.Or(s.MaxRequests, 20)
 	s.StepBase = cmp.Or(s.StepBase, jsonc.Duration(8*time.Millisecond))
 	s.StepPerRequest = cmp.Or(s.StepPerRequest, jsonc.Duration(500*time.Microsecond))
 	s.PrefillPerToken = cmp.Or(s.PrefillPerToken, jsonc.Duration(60*time.Microsecond))
@@ -90,7 +90,7 @@
 
 // EngineStats are the counters of an engine.
 type EngineStats struct {
-	Held                int   `json:"held"`
+	HeldRequests        int   `json:"held"`
 	MaxHeldRequests     int   `json:"max_held"`
 	HeldExports         int   `json:"kv_held"`
 	PrefillTokens       int64 `json:"prefill_tokens"`
@@ -152,7 +152,7 @@
 	e.exports = make(map[string]*kvExport)
 	e.prefills = nil
 	e.cache = newBlockCache(e.settings.CacheBlocks, e.settings.EventLag.D(), e.settings.EventLossInterval)
-	e.reportedLoad = engine.Load{Capacity: e.settings.Requests, Epoch: e.epoch}
+	e.reportedLoad = engine.Load{Capacity: e.settings.MaxRequests, Epoch: e.epoch}
 	e.loadReportedAt = time.Now()
 }
 
@@ -183,13 +183,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.stats
-	s.Held = e.heldRequests()
+	s.HeldRequests = e.heldRequests()
 	s.HeldExports = len(e.exports)
 	return s
 }
 
-// Fault injects a fault, as POST /admin/fault does.
-func (e *Engine) Fault(f Fault) { e.faults.inject(f) }
+// InjectFault injects a fault, as POST /admin/fault does.
+func (e *Engine) InjectFault(f Fault) { e.faults.inject(f) }
 
 // heldRequests returns the number of requests in memory; finished ones take
 // none. The caller holds e.mu.
@@ -316,7 +316,7 @@
 }
 
 func (e *Engine) currentLoad() engine.Load {
-	l := engine.Load{Running: e.heldRequests(), Waiting: len(e.prefills), Capacity: e.settings.Requests, Epoch: e.epoch}
+	l := engine.Load{Running: e.heldRequests(), Waiting: len(e.prefills), Capacity: e.settings.MaxRequests, Epoch: e.epoch}
 	for _, j := range e.prefills {
 		l.BacklogTokens += j.tokens
 	}
--- a/standin/enginehttp.go
+++ b/standin/enginehttp.go
@@ -183,7 +183,7 @@
 func (e *Engine) reserve(id string) *request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, dup := e.requests[id]; dup || e.heldRequests() >= e.settings.Requests {
+	if _, dup := e.requests[id]; dup || e.heldRequests() >= e.settings.MaxRequests {
 		e.stats.RefusedReservations++
 		return nil
 	}
@@ -199,7 +199,7 @@
 	if !e.faults.waitWhile(ctx, FaultStall) || !e.faults.waitWhile(ctx, FaultTransfer) {
 		return http.StatusGatewayTimeout, ctx.Err()
 	}
-	export, err := engine.NewClient(req.URL, e.client).Claim(ctx, req.Handle)
+	export, err := engine.NewClient(req.URL, e.client).FetchKV(ctx, req.Handle)
 	if err != nil {
 		return http.StatusGone, err
 	}
@@ -231,7 +231,7 @@
 		http.Error(w, "result expired", http.StatusGone)
 		return
 	}
-	reply(w, engine.Exported{PromptTokens: export.tokens, Bytes: int64(export.tokens) * engine.KVBytesPerToken, State: export.state})
+	reply(w, engine.KVExport{PromptTokens: export.tokens, Bytes: int64(export.tokens) * engine.KVBytesPerToken, State: export.state})
 }
 
 func (e *Engine) serveDropKV(w http.ResponseWriter, r *http.Request) {
--- a/standin/entry.go
+++ b/standin/entry.go
@@ -20,8 +20,8 @@
 	Sequence int `json:"sequence"`
 	// Stage is empty for plain services.
 	Stage string `json:"stage,omitempty"`
-	// Born is the worker's start time in Unix milliseconds; it is omitted if zero.
-	Born int64 `json:"born,omitempty"`
+	// StartedAtMs is the worker's start time in Unix milliseconds; it is omitted if zero.
+	StartedAtMs int64 `json:"born,omitempty"`
 }
 
 // NewWorkerEntry returns the entry of a ready worker in the first data centre.
@@ -29,9 +29,9 @@
 	return WorkerEntry{Service: service, Address: address, Zone: "dc-1", Version: "v1", Slots: 6, State: "ready", Stage: stage}
 }
 
-// Leaving returns the entry of the same worker while it is draining: it accepts
+// Draining returns the entry of the same worker while it is draining: it accepts
 // no new work.
-func (e WorkerEntry) Leaving() WorkerEntry {
+func (e WorkerEntry) Draining() WorkerEntry {
 	e.State = "draining"
 	return e
 }
