--- a/standin/plain.go
+++ b/standin/plain.go
@@ -20,8 +20,8 @@
 
 // PlainSettings configure the plain service.
 type PlainSettings struct {
-	// Time is the duration of a call. Default 5ms.
-	Time jsonc.Duration `json:"time"`
+	// CallDuration is the duration of a call. Default 5ms.
+	CallDuration jsonc.Duration `json:"time"`
 }
 
 // PlainService simulates a plain service. It counts how often each call ran, so
@@ -37,11 +37,11 @@
 
 // NewPlainService returns a plain service.
 func NewPlainService(set PlainSettings) *PlainService {
-	set.Time = cmp.Or(set.Time, jsonc.Duration(5*time.Millisecond))
+	set.CallDuration = cmp.Or(set.CallDuration, jsonc.Duration(5*time.Millisecond))
 	p := &PlainService{settings: set, faults: newFaultInjector(), router: mux.NewRouter(), runs: make(map[string]int)}
 	p.faults.hooks[FaultCrash] = func() {}
 	p.router.Handle("/admin/fault", p.faults).Methods(http.MethodPost)
-	p.router.HandleFunc("/admin/runs", func(w http.ResponseWriter, _ *http.Request) { reply(w, p.Runs()) })
+	p.router.HandleFunc("/admin/runs", func(w http.ResponseWriter, _ *http.Request) { reply(w, p.RunCounts()) })
 	p.router.HandleFunc("/health", p.serveHealth)
 	p.router.PathPrefix("/").HandlerFunc(p.serveCall)
 	return p
@@ -57,8 +57,8 @@
 	Body      string `json:"body"`
 }
 
-// Runs returns the number of runs of each call, by call ID.
-func (p *PlainService) Runs() map[string]int {
+// RunCounts returns the number of runs of each call, by call ID.
+func (p *PlainService) RunCounts() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	runs := make(map[string]int, len(p.runs))
@@ -68,8 +68,8 @@
 	return runs
 }
 
-// Fault injects a fault, as POST /admin/fault does.
-func (p *PlainService) Fault(f Fault) { p.faults.inject(f) }
+// InjectFault injects a fault, as POST /admin/fault does.
+func (p *PlainService) InjectFault(f Fault) { p.faults.inject(f) }
 
 // ServeHTTP implements http.Handler.
 func (p *PlainService) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.router.ServeHTTP(w, r) }
@@ -93,7 +93,7 @@
 	if err != nil {
 		return
 	}
-	if !p.faults.waitWhile(r.Context(), FaultStall) || !ebonypulley.Sleep(r.Context(), scale(p.settings.Time.D(), p.faults.slowdown())) {
+	if !p.faults.waitWhile(r.Context(), FaultStall) || !ebonypulley.Sleep(r.Context(), scale(p.settings.CallDuration.D(), p.faults.slowdown())) {
 		return
 	}
 	call := r.Header.Get(CallHeader)
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -72,8 +72,8 @@
 	c.changed = make(chan struct{})
 }
 
-// Fault injects a fault, as POST /admin/fault does.
-func (c *ConfigService) Fault(f Fault) { c.faults.inject(f) }
+// InjectFault injects a fault, as POST /admin/fault does.
+func (c *ConfigService) InjectFault(f Fault) { c.faults.inject(f) }
 
 // ServeHTTP implements http.Handler.
 func (c *ConfigService) ServeHTTP(w http.ResponseWriter, r *http.Request) { c.router.ServeHTTP(w, r) }
@@ -158,7 +158,7 @@
 func NewVMList(names []string, lag jsonc.Duration) *VMList {
 	l := &VMList{faults: newFaultInjector(), router: mux.NewRouter(), lag: lag.D(), vms: make(map[string]source.VM)}
 	for _, n := range names {
-		l.vms[n] = source.VM{Name: n, State: source.Live}
+		l.vms[n] = source.VM{Name: n, State: source.VMLive}
 	}
 	l.router.HandleFunc("/v1/vms", l.serveList).Methods(http.MethodGet)
 	l.router.HandleFunc("/admin/vms/{name}/{state}", l.serveSet).Methods(http.MethodPut)
@@ -179,7 +179,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out source.VMs
+	var out source.VMList
 	for _, vm := range l.vms {
 		out.VMs = append(out.VMs, vm)
 	}
--- a/standin/prefill.go
+++ b/standin/prefill.go
@@ -52,7 +52,7 @@
 }
 
 func (e *Engine) runPrefill(ctx context.Context, job *prefillJob) {
-	blocks := engine.Blocks(job.req.Prompt)
+	blocks := engine.BlockHashes(job.req.Prompt)
 	e.mu.Lock()
 	life := e.lifetime
 	cached := e.cache.lookup(blocks) * engine.BlockTokens
@@ -90,7 +90,7 @@
 func (e *Engine) servePrefill(w http.ResponseWriter, r *http.Request, req engine.CompletionRequest) {
 	ctx, cancel := e.requestContext(r)
 	defer cancel()
-	job := &prefillJob{req: req, tokens: engine.CountTokens(req.Prompt), ctx: ctx, result: make(chan engine.Completion, 1)}
+	job := &prefillJob{req: req, tokens: engine.EstimateTokens(req.Prompt), ctx: ctx, result: make(chan engine.Completion, 1)}
 	e.mu.Lock()
 	e.prefills = append(e.prefills, job)
 	sort.SliceStable(e.prefills, func(i, j int) bool {
--- a/standin/store.go
+++ b/standin/store.go
@@ -29,12 +29,12 @@
 // Store simulates the platform's key-value store: listings in pages, watches,
 // compaction, outages and a restore from a backup.
 type Store struct {
-	// Page is the number of items in one page of a listing; 0 means defaultPageSize.
+	// PageSize is the number of items in one page of a listing; 0 means defaultPageSize.
 	// It must be set before use.
-	Page int
-	// Reads, if not nil, limits the rate of calls; calls beyond it get status 429. It must
+	PageSize int
+	// ReadLimiter, if not nil, limits the rate of calls; calls beyond it get status 429. It must
 	// be set before use.
-	Reads *rate.Limiter
+	ReadLimiter *rate.Limiter
 
 	mu        sync.Mutex
 	items     map[string]StoreItem
@@ -48,8 +48,8 @@
 	era uint64
 }
 
-// StoreCopy is a backup of a Store.
-type StoreCopy struct {
+// StoreBackup is a backup of a Store.
+type StoreBackup struct {
 	items    map[string]StoreItem
 	history  []StoreItem
 	revision uint64
@@ -98,16 +98,16 @@
 	s.down = down
 }
 
-// Copy returns a backup of the store.
-func (s *Store) Copy() StoreCopy {
+// Backup returns a backup of the store.
+func (s *Store) Backup() StoreBackup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return StoreCopy{items: maps.Clone(s.items), history: slices.Clone(s.history), revision: s.revision}
+	return StoreBackup{items: maps.Clone(s.items), history: slices.Clone(s.history), revision: s.revision}
 }
 
 // Restore restores the store from a backup and ends an outage. Writes since the backup
 // are lost, and their revision numbers will be used again.
-func (s *Store) Restore(c StoreCopy) {
+func (s *Store) Restore(c StoreBackup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.items, s.history, s.revision = maps.Clone(c.items), slices.Clone(c.history), c.revision
@@ -135,7 +135,7 @@
 // limitReads refuses calls beyond the rate in Reads.
 func (s *Store) limitReads(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.Reads != nil && !s.Reads.Allow() {
+		if s.ReadLimiter != nil && !s.ReadLimiter.Allow() {
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
@@ -159,8 +159,8 @@
 const defaultPageSize = 3
 
 func (s *Store) pageSize() int {
-	if s.Page > 0 {
-		return s.Page
+	if s.PageSize > 0 {
+		return s.PageSize
 	}
 	return defaultPageSize
 }
--- a/standin/wire.go
+++ b/standin/wire.go
@@ -25,8 +25,8 @@
 	h.Set("Prompt-Prefix", fmt.Sprintf("c0:100,%x:%d", session, prompt-100))
 }
 
-// SetKey sets the workspace key that a client presents.
-func SetKey(h http.Header, key string) { h.Set("Authorization", "Token "+key) }
+// SetWorkspaceKey sets the workspace key that a client presents.
+func SetWorkspaceKey(h http.Header, key string) { h.Set("Authorization", "Token "+key) }
 
 // WorkspaceEntry is the store entry of a workspace, as published by the operators.
 type WorkspaceEntry struct {
@@ -46,50 +46,50 @@
 	return WorkspaceEntry{Name: name, Keys: keys, Unit: "tokens", PlainTokens: plainTokens}
 }
 
-// WorkerCall holds the headers of a request that a worker of the platform reads.
-type WorkerCall struct {
-	// ID is the ID of the attempt.
-	ID string
-	// Expected is the incarnation of the worker that the request is meant for.
-	Expected string
+// WorkerHeaders holds the headers of a request that a worker of the platform reads.
+type WorkerHeaders struct {
+	// AttemptID is the ID of the attempt.
+	AttemptID string
+	// ExpectedIncarnation is the incarnation of the worker that the request is meant for.
+	ExpectedIncarnation string
 	// Workspace is the workspace that the router states. Key is the client's key, which
 	// the router must not forward.
 	Workspace, Key string
 	// Prefill asks for the prefill only.
 	Prefill bool
-	// After is the number of the last event that the client has received, 0 if none.
-	After int
+	// LastEvent is the number of the last event that the client has received, 0 if none.
+	LastEvent int
 }
 
-// ReadWorkerCall reads the headers of a request.
-func ReadWorkerCall(r *http.Request) WorkerCall {
-	c := WorkerCall{
-		ID:       r.Header.Get("Attempt-Id"),
-		Expected: r.Header.Get("Expect-Instance"),
-		Prefill:  r.Header.Get("Stage") == "prefill",
+// ReadWorkerHeaders reads the headers of a request.
+func ReadWorkerHeaders(r *http.Request) WorkerHeaders {
+	c := WorkerHeaders{
+		AttemptID:           r.Header.Get("Attempt-Id"),
+		ExpectedIncarnation: r.Header.Get("Expect-Instance"),
+		Prefill:             r.Header.Get("Stage") == "prefill",
 
 		Workspace: r.Header.Get("Tenant"),
 		Key:       r.Header.Get("Authorization"),
 	}
 	if n, err := strconv.Atoi(r.Header.Get("Last-Event-Id")); err == nil {
-		c.After = n
+		c.LastEvent = n
 	}
 	return c
 }
 
-// AnswerHead sets the headers of a worker's answer to a client's request,
+// SetAnswerHeaders sets the headers of a worker's answer to a client's request,
 // including its signature.
-func AnswerHead(h http.Header, id string) {
+func SetAnswerHeaders(h http.Header, id string) {
 	h.Set("Attempt-Id", id)
 	h.Set("Response-Signature", "signed")
 }
 
-// AnswerPrefill writes the answer to a prefill.
-func AnswerPrefill(w http.ResponseWriter) { _, _ = io.WriteString(w, `{"kv_handle":"kv"}`) }
+// WritePrefillAnswer writes the answer to a prefill.
+func WritePrefillAnswer(w http.ResponseWriter) { _, _ = io.WriteString(w, `{"kv_handle":"kv"}`) }
 
-// AnswerOwn answers calls of the engine API as an engine that has free memory and
+// ServeEngineAPI answers calls of the engine API as an engine that has free memory and
 // an empty cache. It returns false, without an answer, for other requests.
-func AnswerOwn(w http.ResponseWriter, r *http.Request) bool {
+func ServeEngineAPI(w http.ResponseWriter, r *http.Request) bool {
 	switch {
 	case r.URL.Path == "/api/hold-take":
 		_, _ = io.WriteString(w, `{"hold":"h"}`)
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -24,23 +24,23 @@
 	ID string
 	// Events is the number of events in a complete answer.
 	Events int
-	// EventPause is the delay before each event.
-	EventPause time.Duration
+	// EventDelay is the delay before each event.
+	EventDelay time.Duration
 	// Answer, if set, is called for each request that is not of the engine API.
 	// It returns false if it has not answered, so that the worker does.
 	Answer func(w http.ResponseWriter, r *http.Request) bool
-	// BreakAfter, if above 0, aborts one stream in the middle of the event that
+	// AbortAfter, if above 0, aborts one stream in the middle of the event that
 	// follows this number of events.
-	BreakAfter int
-	// Leaving makes each answer state that the worker is draining.
-	Leaving bool
+	AbortAfter int
+	// Draining makes each answer state that the worker is draining.
+	Draining bool
 	// Limit is the limit that each answer advertises, in requests a second; empty
 	// advertises none.
 	Limit string
 	// Load, if set, returns the load that each answer reports.
 	Load func() string
-	// RefuseResults makes the worker refuse prefill results of other workers.
-	RefuseResults bool
+	// RefusePrefillResults makes the worker refuse prefill results of other workers.
+	RefusePrefillResults bool
 
 	mu       sync.Mutex
 	requests []WorkerRequest
@@ -60,7 +60,7 @@
 	k.requests = append(k.requests, WorkerRequest{Method: r.Method, URI: r.RequestURI, Stage: r.Header.Get("Stage"), Header: r.Header.Clone(), Body: string(body)})
 	k.mu.Unlock()
 	w.Header().Set("Attempt-Id", r.Header.Get("Attempt-Id"))
-	if k.Leaving {
+	if k.Draining {
 		w.Header().Set("Server-Leaving", "1")
 	}
 	if k.Limit != "" {
@@ -90,7 +90,7 @@
 }
 
 func (k *Worker) stream(w http.ResponseWriter, r *http.Request) {
-	if k.RefuseResults && r.Header.Get("Kv-Source") != "" {
+	if k.RefusePrefillResults && r.Header.Get("Kv-Source") != "" {
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -103,7 +103,7 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := from + 1; i <= k.Events; i++ {
 		select {
-		case <-time.After(k.EventPause):
+		case <-time.After(k.EventDelay):
 		case <-r.Context().Done():
 			return
 		}
@@ -120,9 +120,9 @@
 func (k *Worker) abortsAt(event int) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.BreakAfter == 0 || event <= k.BreakAfter {
+	if k.AbortAfter == 0 || event <= k.AbortAfter {
 		return false
 	}
-	k.BreakAfter = 0
+	k.AbortAfter = 0
 	return true
 }
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -18,16 +18,16 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a new connection: for a request that must not be lost
+	// NewConnection asks for a new connection: for a request that must not be lost
 	// because the endpoint closes an idle connection while it is sent.
-	Fresh bool
+	NewConnection bool
 	// Matches reports whether an answer with header h belongs to this request;
 	// nil accepts any answer. first is set for the first answer on a new
 	// connection.
 	Matches func(h http.Header, first bool) bool
-	// Connected, if set, is called when there is a connection, before anything
+	// OnConnected, if set, is called when there is a connection, before anything
 	// is sent on it.
-	Connected func()
+	OnConnected func()
 }
 
 // maxStaleAnswers is the number of answers to earlier requests that are skipped
@@ -69,12 +69,12 @@
 // connection is closed if ctx ends before Done. Errors are ErrConnect and
 // ErrLost.
 func (p *Pool) Do(ctx context.Context, t Target, req *Request) (*Response, error) {
-	c, err := p.get(ctx, t, req.Fresh)
+	c, err := p.get(ctx, t, req.NewConnection)
 	if err != nil {
 		return nil, err
 	}
-	if req.Connected != nil {
-		req.Connected()
+	if req.OnConnected != nil {
+		req.OnConnected()
 	}
 	r := &Response{pool: p, target: t, conn: c}
 	r.unwatch = context.AfterFunc(ctx, func() { _ = c.nc.Close() })
@@ -179,9 +179,9 @@
 	return n, err
 }
 
-// Done ends the exchange. The connection is kept if the body was read to its end
+// Close ends the exchange. The connection is kept if the body was read to its end
 // and no bytes follow it. Otherwise it is closed, which makes the endpoint stop.
-func (r *Response) Done() {
+func (r *Response) Close() {
 	if !r.unwatch() || !r.complete || !r.reusable || r.conn.br.Buffered() > 0 {
 		_ = r.conn.nc.Close()
 		return
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -221,8 +221,8 @@
 	p.idle[t] = append(p.idle[t], c)
 }
 
-// Sweep closes the connections whose idle timeout has expired.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes the connections whose idle timeout has expired.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for t, list := range p.idle {
@@ -241,7 +241,7 @@
 
 // Close closes all idle connections.
 func (p *Pool) Close() {
-	p.Sweep(time.Now().Add(time.Hour))
+	p.CloseExpired(time.Now().Add(time.Hour))
 }
 
 // keepAliveTimeout returns how long an idle connection may be kept according to
@@ -261,17 +261,17 @@
 	return 0
 }
 
-// IsConnect reports whether err is an ErrConnect: no part of the request was
+// IsConnectError reports whether err is an ErrConnect: no part of the request was
 // sent.
-func IsConnect(err error) bool { return errorx.IsOfType(err, ErrConnect) }
+func IsConnectError(err error) bool { return errorx.IsOfType(err, ErrConnect) }
 
-// IsRefused reports whether the connection was refused: the endpoint's machine
+// IsConnRefused reports whether the connection was refused: the endpoint's machine
 // is up, but nothing listens at the address.
 //
 // errors.Is does not see the causes of wrapped errorx errors, so that each cause
 // is checked here. Otherwise a crashed endpoint would be tried again every half
 // second for as long as it stays published.
-func IsRefused(err error) bool {
+func IsConnRefused(err error) bool {
 	for err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			return true
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer resp.Done()
+	defer resp.Close()
 	body, err := io.ReadAll(resp)
 	return string(body), err
 }
@@ -263,7 +263,7 @@
 	_ = ln.Close()
 	p := upstream.NewPool(nil)
 	_, err = call(p, upstream.Target{ID: "e", Addr: ln.Addr().String()}, getRequest("1"))
-	assert.True(t, upstream.IsConnect(err))
+	assert.True(t, upstream.IsConnectError(err))
 }
 
 // TestKeepAliveTimeout: if the endpoint advertises an idle timeout, this side must
@@ -295,9 +295,9 @@
 	addr := ln.Addr().String()
 	require.NoError(t, ln.Close())
 	_, err = upstream.NewPool(nil).Do(t.Context(), upstream.Target{ID: "e", Addr: addr}, &upstream.Request{Method: "GET", URI: "/", Host: addr})
-	assert.True(t, upstream.IsConnect(err))
-	assert.True(t, upstream.IsRefused(err))
-	assert.False(t, upstream.IsRefused(errors.New("other")))
+	assert.True(t, upstream.IsConnectError(err))
+	assert.True(t, upstream.IsConnRefused(err))
+	assert.False(t, upstream.IsConnRefused(errors.New("other")))
 }
 
 // TestFreshConnectionEvictsIdle: if each request with a new connection left it idle beside
@@ -321,7 +321,7 @@
 	defer p.Close()
 	for range 20 {
 		r := getRequest("a")
-		r.Fresh = true
+		r.NewConnection = true
 		_, err := call(p, target, r)
 		require.NoError(t, err)
 	}
@@ -348,12 +348,12 @@
 		})
 		defer p.Close()
 		fresh := getRequest("a")
-		fresh.Fresh = true
+		fresh.NewConnection = true
 		_, err := call(p, upstream.Target{ID: "e", Addr: "e:1"}, fresh) // the pool has no record of the endpoint yet
 		require.Error(t, err)
 		for range 5 {
 			_, err := call(p, upstream.Target{ID: "e", Addr: "e:1"}, fresh)
-			assert.True(t, upstream.IsConnect(err), "%v", err)
+			assert.True(t, upstream.IsConnectError(err), "%v", err)
 		}
 		assert.Equal(t, 6, dialled)
 		assert.Zero(t, read)
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -85,15 +85,15 @@
 	_ = c.nc.Close()
 }
 
-// Silence returns the time since the last byte was read.
-func (c *Conn) Silence(now time.Time) time.Duration {
+// IdleTime returns the time since the last byte was read.
+func (c *Conn) IdleTime(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now.Sub(c.lastRead)
 }
 
-// Remote returns the address of the peer.
-func (c *Conn) Remote() string { return c.nc.RemoteAddr().String() }
+// RemoteAddr returns the address of the peer.
+func (c *Conn) RemoteAddr() string { return c.nc.RemoteAddr().String() }
 
 // Serve reads messages and calls handle with one after the other, until the
 // connection or ctx ends; then the connection is closed. It returns the error
--- a/wire/header.go
+++ b/wire/header.go
@@ -19,9 +19,9 @@
 	"Upgrade":             true,
 }
 
-// Headers returns the end-to-end headers of h: all but the hop-by-hop ones and
+// EndToEndHeaders returns the end-to-end headers of h: all but the hop-by-hop ones and
 // those that its Connection header lists.
-func Headers(h http.Header) []Header {
+func EndToEndHeaders(h http.Header) []Header {
 	perConnection := make(map[string]bool)
 	for _, v := range h.Values("Connection") {
 		for name := range strings.SplitSeq(v, ",") {
--- a/wire/kinds.go
+++ b/wire/kinds.go
@@ -67,61 +67,61 @@
 func (*Reply) Kind() Kind { return KindReply }
 
 // Kind implements Message.
-func (*Wanted) Kind() Kind { return KindWanted }
+func (*PartsRequest) Kind() Kind { return KindPartsRequest }
 
 // Kind implements Message.
 func (*Parts) Kind() Kind { return KindParts }
 
 // Kind implements Message.
-func (*ConfigWanted) Kind() Kind { return KindConfigWanted }
+func (*ConfigRequest) Kind() Kind { return KindConfigRequest }
 
-// Attempt implements Attempted.
-func (m *Reserve) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Reserve) AttemptID() ID { return m.ID }
 
-// Attempt implements Attempted.
-func (m *Granted) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Granted) AttemptID() ID { return m.ID }
 
-// Attempt implements Attempted.
-func (m *Refused) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Refused) AttemptID() ID { return m.ID }
 
-// Attempt implements Attempted.
-func (m *Prefill) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Prefill) AttemptID() ID { return m.ID }
 
-// Attempt implements Attempted.
-func (m *Prefilled) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Prefilled) AttemptID() ID { return m.ID }
 
-// Attempt implements Attempted.
-func (m *Decode) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Decode) AttemptID() ID { return m.ID }
 
-// Attempt implements Attempted.
-func (m *Chunk) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Chunk) AttemptID() ID { return m.ID }
 
-// Attempt implements Attempted.
-func (m *Ack) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Ack) AttemptID() ID { return m.ID }
 
-// Attempt implements Attempted.
-func (m *Finish) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Finish) AttemptID() ID { return m.ID }
 
-// Attempt implements Attempted.
-func (m *Failed) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Failed) AttemptID() ID { return m.ID }
 
-// Attempt implements Attempted.
-func (m *Cancel) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Cancel) AttemptID() ID { return m.ID }
 
-// Attempt implements Attempted.
-func (m *Cancelled) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Cancelled) AttemptID() ID { return m.ID }
 
-// Attempt implements Attempted.
-func (m *Offer) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Offer) AttemptID() ID { return m.ID }
 
-// Attempt implements Attempted.
-func (m *Start) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Start) AttemptID() ID { return m.ID }
 
-// Attempt implements Attempted.
-func (m *Withdraw) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Withdraw) AttemptID() ID { return m.ID }
 
-// Attempt implements Attempted.
-func (m *Outcome) Attempt() ID { return m.ID }
+// AttemptID implements Attempted.
+func (m *Outcome) AttemptID() ID { return m.ID }
 
 // newMessage returns an empty message of kind k, or nil if k is unknown.
 func newMessage(k Kind) Message {
@@ -170,12 +170,12 @@
 		return new(Report)
 	case KindReply:
 		return new(Reply)
-	case KindWanted:
-		return new(Wanted)
+	case KindPartsRequest:
+		return new(PartsRequest)
 	case KindParts:
 		return new(Parts)
-	case KindConfigWanted:
-		return new(ConfigWanted)
+	case KindConfigRequest:
+		return new(ConfigRequest)
 	default:
 		return nil
 	}
--- a/wire/message.go
+++ b/wire/message.go
@@ -58,9 +58,9 @@
 	KindOutcome
 	KindReport
 	KindReply
-	KindWanted
+	KindPartsRequest
 	KindParts
-	KindConfigWanted
+	KindConfigRequest
 	kindEnd
 )
 
@@ -69,10 +69,10 @@
 	Kind() Kind
 }
 
-// Attempted is implemented by the messages about one attempt.
-type Attempted interface {
+// AttemptMessage is implemented by the messages about one attempt.
+type AttemptMessage interface {
 	Message
-	Attempt() ID
+	AttemptID() ID
 }
 
 // Hello is the first message on a connection in each direction.
@@ -129,11 +129,11 @@
 	Load       Load
 }
 
-// ConfigWanted asks a peer for its configuration document, which is newer than
+// ConfigRequest asks a peer for its configuration document, which is newer than
 // the sender's.
-type ConfigWanted struct{}
+type ConfigRequest struct{}
 
-// Config answers ConfigWanted.
+// Config answers ConfigRequest.
 type Config struct {
 	// Text is the configuration document.
 	Text []byte
@@ -167,44 +167,44 @@
 
 // Reasons.
 const (
-	// Full: the endpoint and the agent's queue have no room.
-	Full Reason = "full"
-	// WaitedOut: the request queued for its maximum time without a grant.
-	WaitedOut Reason = "waited_out"
-	// Draining: the agent accepts no new work.
-	Draining Reason = "draining"
-	// EndpointDown: the agent can't reach its endpoint.
-	EndpointDown Reason = "endpoint_down"
-	// NoConfig: the agent has no configuration yet.
-	NoConfig Reason = "no_config"
-	// WrongRole: the endpoint does not do this kind of work.
-	WrongRole Reason = "wrong_role"
-	// LeaseLost: the lease has expired, or the agent never granted it.
-	LeaseLost Reason = "lease_lost"
-	// ResultLost: the prefill result has expired, or its engine is gone.
-	ResultLost Reason = "result_lost"
-	// TransferStalled: the KV transfer stalled and was cut.
-	TransferStalled Reason = "transfer_stalled"
-	// EngineLost: the engine lost the request.
-	EngineLost Reason = "engine_lost"
-	// Withdrawn: the attempt was withdrawn before its start.
-	Withdrawn Reason = "withdrawn"
-	// KeyUnknown: the agent's record of Idempotency-Keys does not reach back
+	// ReasonFull: the endpoint and the agent's queue have no room.
+	ReasonFull Reason = "full"
+	// ReasonQueueTimeout: the request queued for its maximum time without a grant.
+	ReasonQueueTimeout Reason = "waited_out"
+	// ReasonDraining: the agent accepts no new work.
+	ReasonDraining Reason = "draining"
+	// ReasonEndpointDown: the agent can't reach its endpoint.
+	ReasonEndpointDown Reason = "endpoint_down"
+	// ReasonNoConfig: the agent has no configuration yet.
+	ReasonNoConfig Reason = "no_config"
+	// ReasonWrongRole: the endpoint does not do this kind of work.
+	ReasonWrongRole Reason = "wrong_role"
+	// ReasonLeaseLost: the lease has expired, or the agent never granted it.
+	ReasonLeaseLost Reason = "lease_lost"
+	// ReasonResultLost: the prefill result has expired, or its engine is gone.
+	ReasonResultLost Reason = "result_lost"
+	// ReasonTransferStalled: the KV transfer stalled and was cut.
+	ReasonTransferStalled Reason = "transfer_stalled"
+	// ReasonEngineLost: the engine lost the request.
+	ReasonEngineLost Reason = "engine_lost"
+	// ReasonWithdrawn: the attempt was withdrawn before its start.
+	ReasonWithdrawn Reason = "withdrawn"
+	// ReasonKeyUnknown: the agent's record of Idempotency-Keys does not reach back
 	// far enough to know whether the call ran.
-	KeyUnknown Reason = "key_unknown"
-	// KeyReused: the Idempotency-Key belongs to another call.
-	KeyReused Reason = "key_reused"
-	// KeyRunning: the first call with this key is still running.
-	KeyRunning Reason = "key_running"
-	// KeyDone: the first call with this key ran; its answer is not kept any
+	ReasonKeyUnknown Reason = "key_unknown"
+	// ReasonKeyReused: the Idempotency-Key belongs to another call.
+	ReasonKeyReused Reason = "key_reused"
+	// ReasonKeyRunning: the first call with this key is still running.
+	ReasonKeyRunning Reason = "key_running"
+	// ReasonKeyDone: the first call with this key ran; its answer is not kept any
 	// more.
-	KeyDone Reason = "key_done"
-	// KeyMemory: there is no memory for another key.
-	KeyMemory Reason = "key_memory"
-	// DeadlinePassed: the request's deadline passed before its start.
-	DeadlinePassed Reason = "deadline_passed"
-	// StaleConfig: the agent's newer configuration forbids this attempt.
-	StaleConfig Reason = "stale_config"
+	ReasonKeyDone Reason = "key_done"
+	// ReasonKeyMemoryFull: there is no memory for another key.
+	ReasonKeyMemoryFull Reason = "key_memory"
+	// ReasonDeadlinePassed: the request's deadline passed before its start.
+	ReasonDeadlinePassed Reason = "deadline_passed"
+	// ReasonStaleConfig: the agent's newer configuration forbids this attempt.
+	ReasonStaleConfig Reason = "stale_config"
 )
 
 // Refused answers Reserve, Offer, Start and Prefill: nothing ran for this ID,
@@ -361,14 +361,14 @@
 
 // States.
 const (
-	// NotRun: the call did not run and never will.
-	NotRun State = "not-run"
-	// Running: the call was started and has no answer yet.
-	Running State = "running"
-	// Done: the call has run; the Outcome has its answer.
-	Done State = "done"
-	// Unknown: the call was started and its answer is lost.
-	Unknown State = "unknown"
+	// StateNotRun: the call did not run and never will.
+	StateNotRun State = "not-run"
+	// StateRunning: the call was started and has no answer yet.
+	StateRunning State = "running"
+	// StateDone: the call has run; the Outcome has its answer.
+	StateDone State = "done"
+	// StateUnknown: the call was started and its answer is lost.
+	StateUnknown State = "unknown"
 )
 
 // Outcome answers Start and Withdraw.
--- a/wire/report.go
+++ b/wire/report.go
@@ -75,7 +75,7 @@
 	Unsure bool
 }
 
-// EndpointLimit is a limit that an endpoint advertised, as in quota.Statement.
+// EndpointLimit is a limit that an endpoint advertised, as in quota.EndpointLimit.
 type EndpointLimit struct {
 	// Endpoint is the endpoint's quota.ID.
 	Endpoint uint64
@@ -104,8 +104,8 @@
 	Calls, Tokens float64
 }
 
-// Published is one published entry: a key of the store with its value.
-type Published struct {
+// PublishedEntry is one published entry: a key of the store with its value.
+type PublishedEntry struct {
 	Key      string
 	Value    []byte
 	Revision uint64
@@ -122,7 +122,7 @@
 	Age time.Duration
 	// Entries are the published entries newer than the Report's revision, if it asked for
 	// them.
-	Entries []Published
+	Entries []PublishedEntry
 	// UpTo is the revision up to which Entries are complete; 0 without Entries.
 	UpTo uint64
 	// Link is the capacity of the sender's link in Mbit/s, 0 if unknown.
@@ -168,9 +168,9 @@
 	Ran bool
 }
 
-// Wanted asks for parts of large values. The receiver answers with Parts, even if it has
+// PartsRequest asks for parts of large values. The receiver answers with Parts, even if it has
 // few or none of them any more.
-type Wanted struct {
+type PartsRequest struct {
 	// Digests identify the parts.
 	Digests []uint64
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -23,24 +23,24 @@
 		&wire.Hello{Version: wire.Version, Role: "entry", Name: "alm-a-entry-1", DataCentre: "alm-a", Incarnation: id, Generation: 3},
 		&wire.Ping{Seq: 7, Generation: 3},
 		&wire.Pong{Seq: 7, Load: wire.Load{Active: 3, Capacity: 20, Draining: true}},
-		&wire.ConfigWanted{},
+		&wire.ConfigRequest{},
 		&wire.Config{Text: []byte("{}")},
 		&wire.Reserve{ID: id, Tokens: 900, Spare: true, Wait: time.Second, Model: "drafting"},
 		&wire.Granted{ID: id},
-		&wire.Refused{ID: id, Reason: wire.Full, RetryAfter: time.Second},
+		&wire.Refused{ID: id, Reason: wire.ReasonFull, RetryAfter: time.Second},
 		&wire.Prefill{ID: id, Prompt: strings.Repeat("p", 5000)},
 		&wire.Prefilled{ID: id, KV: wire.KVRef{Handle: "h", Bytes: 1 << 30, Lives: time.Second}},
 		&wire.Decode{ID: id, MaxTokens: 64, Next: 12},
 		&wire.Chunk{ID: id, From: 12, Tokens: []string{" chess", " club"}},
 		&wire.Ack{ID: id, Next: 14},
 		&wire.Finish{ID: id, Tokens: 14, Why: "stop"},
-		&wire.Failed{ID: id, Reason: wire.EngineLost, KVAlive: true},
+		&wire.Failed{ID: id, Reason: wire.ReasonEngineLost, KVAlive: true},
 		&wire.Cancel{ID: id},
 		&wire.Cancelled{ID: id},
 		&wire.Offer{ID: id, Method: "POST", Path: "/bookings", Key: "k", Members: 9, Fingerprint: 8},
 		&wire.Start{ID: id, Incarnation: id, Headers: []wire.Header{{Name: "A", Value: "b"}}, Body: []byte("x")},
 		&wire.Withdraw{ID: id},
-		&wire.Outcome{ID: id, State: wire.Done, Status: 200, Body: []byte("y"), Replayed: true},
+		&wire.Outcome{ID: id, State: wire.StateDone, Status: 200, Body: []byte("y"), Replayed: true},
 	}
 }
 
@@ -178,7 +178,7 @@
 			require.NoError(t, err)
 			frame = frame[n:]
 			time.Sleep(200 * time.Millisecond)
-			assert.LessOrEqual(t, c.Silence(time.Now()), 200*time.Millisecond)
+			assert.LessOrEqual(t, c.IdleTime(time.Now()), 200*time.Millisecond)
 		}
 		assert.Len(t, (<-got).(*wire.Config).Text, 1<<20)
 		c.Close()
