--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -142,8 +142,8 @@
 	return sum
 }
 
-// MergePartialListing merges a part of a listing into a catalog that has no complete state yet. Keys
-// that the part lacks are not removed.
+// MergePartialListing merges a part of a listing into a catalog that has no complete state
+// yet. Keys that the part lacks are not removed.
 func (c *Catalog) MergePartialListing(now time.Time, entries []Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -315,8 +315,8 @@
 	return c.Merge(now, append(c.removalsExcept(listed, upTo), entries...), upTo)
 }
 
-// RemoveExcept removes all keys but the given ones, unless they changed after upTo. The keys are
-// those of another process that is complete up to that revision.
+// RemoveExcept removes all keys but the given ones, unless they changed after upTo. The keys
+// are those of another process whose catalog is complete up to that revision.
 func (c *Catalog) RemoveExcept(now time.Time, keys []string, upTo revision.Revision) []Entry {
 	has := make(map[string]bool, len(keys))
 	for _, key := range keys {
@@ -358,13 +358,14 @@
 	}
 }
 
-// maxBatch is the number of entries in one result of Since or Kept: some 50 kB.
+// maxBatch is the number of entries in one result of ChangesSince or SupersedingEntries: some
+// 50 kB.
 const maxBatch = 256
 
 // ChangesSince returns the entries with a relevant change after a revision, removals included
 // and the oldest changes first, and the revision up to which they are complete. If
 // removals between the two revisions may be unknown, because they preceded a listing,
-// keys are the keys of all present entries, to be passed to Keep.
+// keys are the keys of all present entries, to be passed to RemoveExcept.
 //
 // The number of entries is bounded, and the caller continues from upTo. Otherwise a
 // hundred processes that start together and request thousands of entries each would
@@ -393,8 +394,8 @@
 	return entries, upTo, keys
 }
 
-// SupersedingEntries returns entries whose values are newer than those that the store has at the same
-// revisions since it was restored from a backup, at most maxBatch of them.
+// SupersedingEntries returns entries whose values are newer than those that the store has at
+// the same revisions since it was restored from a backup, at most maxBatch of them.
 func (c *Catalog) SupersedingEntries() (entries []Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/config/document.go
+++ b/config/document.go
@@ -150,7 +150,7 @@
 	MaxRequests int `json:"requests"`
 	// KVCapacity is the KV cache capacity of one decode endpoint, in tokens.
 	KVCapacity int `json:"tokens"`
-	// Headroom is the number of an endpoint's Requests that are reserved for
+	// Headroom is the number of an endpoint's MaxRequests that are reserved for
 	// tiers that are not spare.
 	Headroom int `json:"headroom"`
 	// MaxQueue is the maximum number of requests that wait at one endpoint's agent.
--- a/emulator/crash.go
+++ b/emulator/crash.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// lookup returns the running engine of an endpoint. It returns ErrAbsent while the engine is
-// down and ErrMoved after another incarnation has replaced it.
+// lookup returns the running engine of an endpoint. It returns ErrNotListening while the engine
+// is down and ErrReplaced after another incarnation has replaced it.
 func (f *Fleet) lookup(e *router.Endpoint) (*engine, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/emulator/crash_test.go
+++ b/emulator/crash_test.go
@@ -91,16 +91,16 @@
 		thresholdCrash := d.crashTime(crashThreshold)
 		require.False(t, thresholdCrash.IsZero())
 		n := retries(d.fleet, thresholdCrash.Add(propagationTime))
-		onTime, drafts := d.onTimeFraction(recovered, end)
-		t.Logf("%d engines crashed; %d attempts reached engines after detection; %.3f of %d other drafts on time", len(d.fleet.Crashes), n, onTime, drafts)
+		onTime, count := d.onTimeFraction(recovered, end)
+		t.Logf("%d engines crashed; %d attempts reached engines after detection; %.3f of %d other generations on time", len(d.fleet.Crashes), n, onTime, count)
 		assert.LessOrEqual(t, n, maxPoisonRetries)
 		assert.GreaterOrEqual(t, onTime, minOnTime)
 	})
 }
 
 // TestUnrelatedCrashesBlockNoRequest guards against blocking innocent requests. Engines crash
-// one after the other for reasons of their own, and drafts that are retried may meet several
-// crashes.
+// one after the other for reasons of their own, and generations that are retried may meet
+// several crashes.
 func TestUnrelatedCrashesBlockNoRequest(t *testing.T) {
 	t.Parallel()
 	runCluster(t, 5, 9, 1, func(d *clusterTest) {
@@ -120,7 +120,7 @@
 		for _, e := range d.cluster.Entries {
 			refused += e.Metrics.Count("poison_refused")
 		}
-		t.Logf("%d engines crashed, %d drafts, %d attempts blocked", len(d.fleet.Crashes), len(d.drafts), refused)
+		t.Logf("%d engines crashed, %d generations, %d attempts blocked", len(d.fleet.Crashes), len(d.generations), refused)
 		assert.Zero(t, refused)
 	})
 }
--- a/emulator/limit.go
+++ b/emulator/limit.go
@@ -75,8 +75,8 @@
 	return &router.Answer{Failed: f.failEvery > 0 && f.plainCalls%f.failEvery == 0}, nil
 }
 
-// entryClient implements router.EndpointClient for one entry. It records the requests that the entry
-// sends, and passes the limits that endpoints advertise to the entry's router.
+// entryClient implements router.EndpointClient for one entry. It records the requests that the
+// entry sends, and passes the limits that endpoints advertise to the entry's router.
 type entryClient struct {
 	*Fleet
 	entry *Entry
--- a/emulator/sheets_test.go
+++ b/emulator/sheets_test.go
@@ -26,7 +26,7 @@
 	ttftTarget   = 900 * time.Millisecond
 	maxGap       = 300 * time.Millisecond
 	loadFraction = 0.6 // of the engines' capacity
-	// minOnTime and minOnTimeAfterBurst are the minimum fractions of drafts within their
+	// minOnTime and minOnTimeAfterBurst are the minimum fractions of generations within their
 	// objectives before a burst, and from five seconds after it on. The means over all cases
 	// are 0.98 and 0.99; the rest is margin for chance, because callers and entries draw other
 	// random numbers in each run.
@@ -57,8 +57,8 @@
 	return fits >= minRequestsInMemory && longest < ttftTarget*2/3 && time.Duration(s.Stride)*s.Step < maxGap/2
 }
 
-// draft is the outcome of one generation.
-type draft struct {
+// generation is the outcome of one generation sent to the fleet.
+type generation struct {
 	sentAt time.Time
 	onTime bool
 	failed bool
@@ -72,7 +72,7 @@
 	work         emulator.Workload
 	rnd          *rand.Rand
 	mu           sync.Mutex
-	drafts       []draft
+	generations  []generation
 	promptTokens int // of all requests
 	wg           sync.WaitGroup
 	metrics      *metrics.Set
@@ -131,7 +131,7 @@
 // send makes the attempts of one caller, which retries once after a refusal.
 func (d *loadTest) send(r *router.Router, prompt, answer int) {
 	route := &router.Route{Name: "draft", Kind: router.Generation, MaxAttempts: 2, Resumable: true, LatencyTarget: ttftTarget, MaxGap: maxGap, SilenceTimeout: 4 * ttftTarget}
-	out := draft{sentAt: time.Now()}
+	out := generation{sentAt: time.Now()}
 	const wait = 14 * time.Second
 	content := rand.Uint64()
 	for try := range 2 {
@@ -151,14 +151,14 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.drafts = append(d.drafts, out)
+	d.generations = append(d.generations, out)
 }
 
-// onTimeFraction returns the fraction of the drafts sent in a span that met their objectives,
-// and the number of these drafts.
+// onTimeFraction returns the fraction of the generations sent in a span that met their
+// objectives, and the number of these generations.
 func (d *loadTest) onTimeFraction(from, to time.Time) (onTime float64, n int) {
 	good := 0
-	for _, x := range d.drafts {
+	for _, x := range d.generations {
 		if x.sentAt.Before(from) || !x.sentAt.Before(to) {
 			continue
 		}
@@ -235,9 +235,10 @@
 
 // TestAnyEngines guards against decisions that are tuned to one kind of engine: with other
 // engines, callers would miss their objectives even though the engines have capacity left. At
-// 0.6 of the capacity nearly all drafts must be on time with each feasible specification. After
-// five seconds at twice the capacity they must be so again within five more, which requires
-// that retries which are already late leave capacity to requests that can still be on time.
+// 0.6 of the capacity nearly all generations must be on time with each feasible specification.
+// After five seconds at twice the capacity they must be so again within five more, which
+// requires that retries which are already late leave capacity to requests that can still be on
+// time.
 func TestAnyEngines(t *testing.T) {
 	t.Parallel()
 	for _, c := range engineCases() {
@@ -269,7 +270,7 @@
 				warmup, n := d.onTimeFraction(warm.Add(-45*time.Second), warm)
 				baseline, _ := d.onTimeFraction(warm, burst)
 				recovered, _ := d.onTimeFraction(after, end)
-				t.Logf("%.1f drafts per second (%d): %.3f on time during warm-up, %.3f after it, %.3f after a burst", rate, n, warmup, baseline, recovered)
+				t.Logf("%.1f generations per second (%d): %.3f on time during warm-up, %.3f after it, %.3f after a burst", rate, n, warmup, baseline, recovered)
 				assert.GreaterOrEqual(t, baseline, minOnTime)
 				assert.GreaterOrEqual(t, recovered, minOnTimeAfterBurst)
 				assert.Less(t, float64(d.fleet.PrefillTokens), maxPrefillRatio*float64(d.promptTokens), "too many prompt tokens were prefilled")
--- a/emulator/site_test.go
+++ b/emulator/site_test.go
@@ -25,8 +25,8 @@
 )
 
 // maxRefusedFraction is the maximum number of prefill results that engines refuse, as a
-// fraction of the drafts. It is the waste allowed under high load: the burst reaches 0.9 of the
-// engines' capacity.
+// fraction of the generations. It is the waste allowed under high load: the burst reaches 0.9
+// of the engines' capacity.
 const maxRefusedFraction = 0.03
 
 // smallBatchSpec is a kind of engine at which batch slots and KV memory run out at about the
@@ -88,8 +88,8 @@
 // TestManyEntriesManyEngines guards against wasted prefills in large fleets. If some of 68
 // entries before 120 engines do not receive the loads of others, they prefill prompts that no
 // decode engine has room for: 86 of 4,300 results were refused in 30 s, against none with four
-// entries before the same engines. At half of the engines' capacity nearly all drafts must be
-// on time, and few results may be refused.
+// entries before the same engines. At half of the engines' capacity nearly all generations must
+// be on time, and few results may be refused.
 func TestManyEntriesManyEngines(t *testing.T) {
 	t.Parallel()
 	for _, entries := range []int{4, 68} {
@@ -117,9 +117,9 @@
 	d.wg.Wait()
 	steady, n := d.onTimeFraction(start, burst)
 	duringBurst, _ := d.onTimeFraction(burst, end)
-	t.Logf("%d entries, %.0f drafts per second (%d): %.3f on time, %.3f in a burst; prefilled %.3f times the prompt tokens; %d results refused; each entry received %.0f bytes per second",
+	t.Logf("%d entries, %.0f generations per second (%d): %.3f on time, %.3f in a burst; prefilled %.3f times the prompt tokens; %d results refused; each entry received %.0f bytes per second",
 		len(d.cluster.Entries), rate, n, steady, duringBurst, float64(d.fleet.PrefillTokens)/float64(d.promptTokens), d.fleet.RefusedResults, bytes)
 	assert.GreaterOrEqual(t, steady, minOnTime)
 	assert.Less(t, float64(d.fleet.PrefillTokens), maxPrefillRatio*float64(d.promptTokens), "too many prompt tokens were prefilled")
-	assert.Less(t, d.fleet.RefusedResults, int(maxRefusedFraction*float64(len(d.drafts))), "prefill results that no engine had room for")
+	assert.Less(t, d.fleet.RefusedResults, int(maxRefusedFraction*float64(len(d.generations))), "prefill results that no engine had room for")
 }
--- a/fleet/answer_test.go
+++ b/fleet/answer_test.go
@@ -19,9 +19,9 @@
 
 func TestAnswersAreComplete(t *testing.T) {
 	runSim(t, func(s *sim) {
-		assertComplete(t, s.sendDraft(load.GenerationSpec{}))
-		assertComplete(t, s.sendDraft(load.GenerationSpec{Stream: true}))
-		assertComplete(t, s.sendDraft(load.GenerationSpec{Stream: true, Key: trialKey}))
+		assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
+		assertComplete(t, s.sendGeneration(load.GenerationSpec{Stream: true}))
+		assertComplete(t, s.sendGeneration(load.GenerationSpec{Stream: true, Key: trialKey}))
 		assertComplete(t, s.sendBooking(load.CallSpec{}))
 		s.requireFreedWithin(0)
 	})
@@ -34,7 +34,7 @@
 func TestDecodeEngineLostMidAnswer(t *testing.T) {
 	runSim(t, func(s *sim) {
 		res := withFault(midAnswer, func() { s.Engines[s.busyEndpoint()+"-engine"].Crash() },
-			func() load.Result { return s.sendDraft(load.GenerationSpec{Stream: true}) })
+			func() load.Result { return s.sendGeneration(load.GenerationSpec{Stream: true}) })
 		assertComplete(t, res)
 		assert.EqualValues(t, 1, s.sumMetric("continued"))
 	})
@@ -47,7 +47,7 @@
 func TestDecodeAgentLostMidAnswer(t *testing.T) {
 	runSim(t, func(s *sim) {
 		res := withFault(midAnswer, func() { s.crash(s.busyEndpoint()) },
-			func() load.Result { return s.sendDraft(load.GenerationSpec{Stream: true}) })
+			func() load.Result { return s.sendGeneration(load.GenerationSpec{Stream: true}) })
 		assertComplete(t, res)
 	})
 }
@@ -61,7 +61,7 @@
 			name := s.busyEndpoint()
 			s.powerCut(name)
 			s.powerCut(name + "-engine")
-		}, func() load.Result { return s.sendDraft(load.GenerationSpec{Stream: true}) })
+		}, func() load.Result { return s.sendGeneration(load.GenerationSpec{Stream: true}) })
 		assertComplete(t, res)
 		assert.EqualValues(t, 1, s.sumMetric("continued"))
 	})
@@ -75,7 +75,7 @@
 	runSim(t, func(s *sim) {
 		s.useOnlyEntry(0)
 		res := withFault(midAnswer, func() { s.net.Silence(s.entryName(0), s.busyEndpoint()) },
-			func() load.Result { return s.sendDraft(load.GenerationSpec{Stream: true}) })
+			func() load.Result { return s.sendGeneration(load.GenerationSpec{Stream: true}) })
 		assertComplete(t, res)
 		assert.Zero(t, s.sumMetric("continued"))
 	})
@@ -91,7 +91,7 @@
 			s.net.Cut(s.entryName(0), busy)
 			time.Sleep(200 * time.Millisecond)
 			s.net.Cut(s.entryName(0), busy)
-		}, func() load.Result { return s.sendDraft(load.GenerationSpec{Stream: true}) })
+		}, func() load.Result { return s.sendGeneration(load.GenerationSpec{Stream: true}) })
 		assertComplete(t, res)
 		assert.Zero(t, s.sumMetric("continued"))
 	})
@@ -102,21 +102,21 @@
 func TestSilentStreamOfEngine(t *testing.T) {
 	runSim(t, func(s *sim) {
 		res := withFault(midAnswer, func() { s.injectFault(s.busyEndpoint(), standin.Fault{Kind: standin.FaultSilent}) },
-			func() load.Result { return s.sendDraft(load.GenerationSpec{Stream: true}) })
+			func() load.Result { return s.sendGeneration(load.GenerationSpec{Stream: true}) })
 		assertComplete(t, res)
 		assert.Zero(t, s.sumMetric("continued"))
 	})
 }
 
 // TestEngineStallsMidAnswer: an engine hangs for ten seconds during an answer, and new streams
-// are silent as well. The agent must give up the request there, and the entry must continue it
+// are silent as well. The agent must abandon the request there, and the entry must continue it
 // elsewhere before the engine recovers.
 func TestEngineStallsMidAnswer(t *testing.T) {
 	runSim(t, func(s *sim) {
 		began := time.Now()
 		res := withFault(midAnswer, func() {
 			s.injectFault(s.busyEndpoint(), standin.Fault{Kind: standin.FaultStall, For: jsonc.Duration(10 * time.Second)})
-		}, func() load.Result { return s.sendDraft(load.GenerationSpec{Stream: true}) })
+		}, func() load.Result { return s.sendGeneration(load.GenerationSpec{Stream: true}) })
 		assertComplete(t, res)
 		assert.Less(t, time.Since(began), 8*time.Second)
 		s.requireFreedWithin(15 * time.Second)
@@ -130,7 +130,7 @@
 	runSim(t, func(s *sim) {
 		s.injectFault("alm-a-decode-1", standin.Fault{Kind: standin.FaultTransfer, For: jsonc.Duration(5 * time.Second)})
 		for range 6 {
-			assertComplete(t, s.sendDraft(load.GenerationSpec{}))
+			assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
 		}
 		assert.Positive(t, s.sumMetric("reused_results"))
 		assert.Zero(t, s.sumMetric("wasted_prefill_tokens"))
@@ -141,7 +141,7 @@
 // the agent and the agent at the engine, so that the memory is free within a second.
 func TestCallerGoneFreesMemory(t *testing.T) {
 	runSim(t, func(s *sim) {
-		res := s.sendDraft(load.GenerationSpec{Stream: true, MaxTokens: 500, CancelAfter: 5})
+		res := s.sendGeneration(load.GenerationSpec{Stream: true, MaxTokens: 500, CancelAfter: 5})
 		assert.True(t, res.Cancelled)
 		s.requireFreedWithin(time.Second)
 	})
@@ -153,7 +153,7 @@
 	runSim(t, func(s *sim) {
 		s.useOnlyEntry(0)
 		res := withFault(midAnswer, func() { s.crash(s.entryName(0)) },
-			func() load.Result { return s.sendDraft(load.GenerationSpec{Stream: true, MaxTokens: 500}) })
+			func() load.Result { return s.sendGeneration(load.GenerationSpec{Stream: true, MaxTokens: 500}) })
 		assert.True(t, res.Aborted, "the caller must see that the answer was aborted")
 		s.requireFreedWithin(3500 * time.Millisecond)
 	})
@@ -181,7 +181,7 @@
 		s.crash("alm-a-decode-1")
 		s.crash("alm-b-decode-1")
 		before := s.PrefillStats().ComputedTokens
-		res := s.sendDraft(load.GenerationSpec{})
+		res := s.sendGeneration(load.GenerationSpec{})
 		assert.Equal(t, entry.OutcomeNotRun, res.Outcome)
 		assert.Equal(t, before, s.PrefillStats().ComputedTokens)
 	})
@@ -214,15 +214,15 @@
 func TestSilentConnectionToPrefillEngine(t *testing.T) {
 	runSim(t, func(s *sim) {
 		for range 10 {
-			assertComplete(t, s.sendDraft(load.GenerationSpec{}))
+			assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
 		}
-		time.Sleep(time.Second) // the memory of the drafts is freed over these connections
+		time.Sleep(time.Second) // the memory of the generations is freed over these connections
 		for _, name := range []string{"alm-a-prefill-1", "alm-b-prefill-1"} {
 			s.net.Silence(name, name+"-engine")
 		}
 		for range 6 { // enough for both engines to get some
 			began := time.Now()
-			assertComplete(t, s.sendDraft(load.GenerationSpec{}))
+			assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
 			assert.Less(t, time.Since(began), 4*time.Second)
 			time.Sleep(time.Second)
 		}
@@ -230,20 +230,20 @@
 	})
 }
 
-// TestFirstTokenDoesNotWaitForDrop: the connection on which a decode agent tells the prefill
+// TestFirstTokenDoesNotWaitForDrop: the connection on which a decode agent asks the prefill
 // engine to drop a fetched result has gone silent. The response is not needed, so the first
 // token must not wait for it.
 func TestFirstTokenDoesNotWaitForDrop(t *testing.T) {
 	runSim(t, func(s *sim) {
 		for range 6 {
-			assertComplete(t, s.sendDraft(load.GenerationSpec{}))
+			assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
 		}
 		time.Sleep(time.Second) // the connections are idle
 		for _, d := range []string{"alm-a-decode-1", "alm-b-decode-1"} {
 			s.net.Silence(d, "alm-a-prefill-1-engine")
 			s.net.Silence(d, "alm-b-prefill-1-engine")
 		}
-		res := s.sendDraft(load.GenerationSpec{Stream: true})
+		res := s.sendGeneration(load.GenerationSpec{Stream: true})
 		assertComplete(t, res)
 		assert.Less(t, res.TTFT, 500*time.Millisecond)
 	})
--- a/fleet/badinput_test.go
+++ b/fleet/badinput_test.go
@@ -77,7 +77,7 @@
 			assert.NotEmpty(t, r.header.Get(entry.HeaderRequestID), row.name)
 			assert.Equal(t, string(entry.OutcomeNotRun), r.header.Get(entry.HeaderOutcome), row.name)
 		}
-		assertComplete(t, s.sendDraft(load.GenerationSpec{}))
+		assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
 	})
 }
 
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -19,7 +19,7 @@
 )
 
 // benchFleet runs the small fleet over loopback TCP. Its engines take almost no time, so that
-// the router's overhead is measured.
+// the figures show the router's overhead.
 func benchFleet(b *testing.B) *fleet.Fleet {
 	b.Helper()
 	doc := smallDocument(b)
--- a/fleet/change_test.go
+++ b/fleet/change_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// startBackgroundLoad sends drafts and bookings until the returned function is called, which
+// startBackgroundLoad sends generations and bookings until the returned function is called, which
 // returns their results.
 func (s *sim) startBackgroundLoad() func() []load.Result {
 	var mu sync.Mutex
@@ -93,7 +93,7 @@
 		})
 	}
 	for range 3 {
-		send(func() load.Result { return s.sendDraft(load.GenerationSpec{Stream: true, MaxTokens: 24}) })
+		send(func() load.Result { return s.sendGeneration(load.GenerationSpec{Stream: true, MaxTokens: 24}) })
 		send(func() load.Result { return s.sendBooking(load.CallSpec{}) })
 	}
 	return func() []load.Result {
@@ -120,13 +120,13 @@
 		res := withFault(midAnswer, func() {
 			removed = s.busyEndpoint()
 			s.publishChanged(2, withoutEndpoint(removed))
-		}, func() load.Result { return s.sendDraft(load.GenerationSpec{Stream: true, MaxTokens: 400}) })
+		}, func() load.Result { return s.sendGeneration(load.GenerationSpec{Stream: true, MaxTokens: 400}) })
 		assertComplete(t, res)
 		assert.Zero(t, s.sumMetric("continued"))
 		time.Sleep(applyTimeout)
 		before := s.Engines[removed+"-engine"].Stats().DecodedTokens
 		for range 8 {
-			assertComplete(t, s.sendDraft(load.GenerationSpec{}))
+			assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
 		}
 		assert.Equal(t, before, s.Engines[removed+"-engine"].Stats().DecodedTokens)
 	})
@@ -195,7 +195,7 @@
 		s.StartAgent("alm-a-decode-1")
 		time.Sleep(applyTimeout)
 		s.assertAllAt(2)
-		assertComplete(t, s.sendDraft(load.GenerationSpec{}))
+		assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
 	})
 }
 
@@ -302,12 +302,12 @@
 					}
 				}
 			})
-		}, func() load.Result { return s.sendDraft(load.GenerationSpec{Stream: true, MaxTokens: 400}) })
+		}, func() load.Result { return s.sendGeneration(load.GenerationSpec{Stream: true, MaxTokens: 400}) })
 		assertComplete(t, res)
 		assert.Zero(t, s.sumMetric("continued"))
 		time.Sleep(applyTimeout)
 		s.caller.Model = "drafting-2"
-		assertComplete(t, s.sendDraft(load.GenerationSpec{}))
+		assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
 	})
 }
 
@@ -315,14 +315,14 @@
 // within seconds.
 func TestRevokedKey(t *testing.T) {
 	runSim(t, func(s *sim) {
-		assertComplete(t, s.sendDraft(load.GenerationSpec{}))
+		assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
 		s.publishChanged(2, func(doc *config.Document) {
 			for i := range doc.Workspaces {
 				doc.Workspaces[i].KeySHA256 = nil
 			}
 		})
 		time.Sleep(applyTimeout)
-		assert.Equal(t, http.StatusUnauthorized, s.sendDraft(load.GenerationSpec{}).Status)
+		assert.Equal(t, http.StatusUnauthorized, s.sendGeneration(load.GenerationSpec{}).Status)
 	})
 }
 
@@ -337,7 +337,7 @@
 			}
 		}
 		cutAll()
-		assertComplete(t, s.sendDraft(load.GenerationSpec{}))
+		assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
 		cutAll()
 		assertComplete(t, s.sendBooking(load.CallSpec{}))
 	})
@@ -398,7 +398,7 @@
 // enforce the limit; otherwise the workspace could use a multiple of it.
 func TestWorkspaceTokenLimit(t *testing.T) {
 	runSim(t, func(s *sim) {
-		assertComplete(t, s.sendDraft(load.GenerationSpec{}))
+		assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
 		const limit, answer = 60, 100
 		s.publishChanged(2, func(doc *config.Document) {
 			for i := range doc.Workspaces {
@@ -408,7 +408,7 @@
 		time.Sleep(applyTimeout)
 		start, tokens, refused := time.Now(), 0, 0
 		for time.Since(start) < 10*time.Second {
-			res := s.sendDraft(load.GenerationSpec{MaxTokens: answer})
+			res := s.sendGeneration(load.GenerationSpec{MaxTokens: answer})
 			switch res.Status {
 			case http.StatusOK:
 				tokens += answer
--- a/fleet/gate_test.go
+++ b/fleet/gate_test.go
@@ -176,7 +176,7 @@
 		require.NoError(t, err)
 		assert.Equal(t, "another", state.Model)
 		assert.True(t, s.Agents[decodeEndpoint].Stats().Down)
-		assertComplete(t, s.sendDraft(load.GenerationSpec{}))
+		assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
 	})
 }
 
@@ -188,7 +188,7 @@
 			e.Crash()
 		}
 		time.Sleep(3 * time.Second)
-		assertComplete(t, s.sendDraft(load.GenerationSpec{}))
+		assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
 	})
 }
 
@@ -232,6 +232,6 @@
 			require.Error(t, err)
 			assert.NotErrorIs(t, err, os.ErrDeadlineExceeded, "%q", garbage)
 		}
-		assertComplete(t, s.sendDraft(load.GenerationSpec{}))
+		assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
 	})
 }
--- a/fleet/random_test.go
+++ b/fleet/random_test.go
@@ -202,7 +202,7 @@
 				c.publishChanged(last, func(*config.Document) {})
 				time.Sleep(applyTimeout)
 				s.assertAllAt(last)
-				assertComplete(t, s.sendDraft(load.GenerationSpec{}))
+				assertComplete(t, s.sendGeneration(load.GenerationSpec{}))
 				assertComplete(t, s.sendBooking(load.CallSpec{}))
 				if t.Failed() {
 					for _, line := range c.log {
--- a/fleet/sim_test.go
+++ b/fleet/sim_test.go
@@ -95,7 +95,7 @@
 // newRand returns a random source for one request.
 func (s *sim) newRand() *rand.Rand { return rand.New(rand.NewPCG(1, s.seed.Add(1))) }
 
-func (s *sim) sendDraft(d load.GenerationSpec) load.Result {
+func (s *sim) sendGeneration(d load.GenerationSpec) load.Result {
 	if d.Key == "" {
 		d.Key = paidKey
 	}
--- a/gossip/count_test.go
+++ b/gossip/count_test.go
@@ -40,7 +40,7 @@
 // TestNewcomerInPartitionLearnsFleetSize guards against more retries than the platform allows
 // during a partition. An entry restarted in a small partition hears only the few others
 // there, and would take too large a share of the retry slack, which the entries it can't hear
-// use too. The others there remember for an hour how many there were, and tell it.
+// use too. The others there remember the fleet size for an hour and report it.
 func TestNewcomerInPartitionLearnsFleetSize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const all, left = 6, 1
@@ -75,7 +75,7 @@
 }
 
 // TestSimultaneousStartCountsAllEntries guards against entries that start together and share
-// limits and budgets among few until they have heard of each other.
+// limits and budgets among few until they have learned of each other.
 func TestSimultaneousStartCountsAllEntries(t *testing.T) {
 	for _, all := range []int{5, 27, 68} {
 		synctest.Test(t, func(t *testing.T) {
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -306,8 +306,8 @@
 }
 
 // TestFormerVersionAfterRestore guards against a failure during a rolling upgrade in which
-// the store is restored from a backup. Entries of the former version must neither bring their
-// old configuration into force again nor fill the network with questions whose answers they
+// the store is restored from a backup. Entries of the former version must neither make others
+// apply their old configuration again nor fill the network with questions whose answers they
 // can't use.
 func TestFormerVersionAfterRestore(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
--- a/gossip/members.go
+++ b/gossip/members.go
@@ -339,9 +339,9 @@
 // sortByPairHash orders addresses by their hash with this entry's, which is the same each
 // time, so that links last. Seeds come first, because entries that start know only these.
 func (m *Members) sortByPairHash(list []string) {
-	chances := make(map[string]uint64, len(list))
+	hashes := make(map[string]uint64, len(list))
 	for _, a := range list {
-		chances[a] = m.pairHash(a)
+		hashes[a] = m.pairHash(a)
 	}
 	slices.SortFunc(list, func(a, b string) int {
 		if m.seeds[a] != m.seeds[b] {
@@ -350,7 +350,7 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(chances[a], chances[b]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(hashes[a], hashes[b]), cmp.Compare(a, b))
 	})
 }
 
--- a/gossip/node.go
+++ b/gossip/node.go
@@ -42,8 +42,8 @@
 	// fresh.
 	Behind      func() bool
 	StoreFailed func() bool
-	// CatalogAge returns the age of this entry's copy of the published entries. Heard is called with
-	// the age of a copy that another entry relayed.
+	// CatalogAge returns the age of this entry's copy of the published entries. OnReceive is
+	// called with the age of a copy that another entry relayed.
 	CatalogAge func() time.Duration
 	OnReceive  func(age time.Duration)
 	// OnFleetSize is called with the largest fleet size lately, this entry included.
@@ -115,7 +115,7 @@
 			n.sendReply(c, repliesSent, n.handleReport(m, !introduced))
 			introduced = true
 		case *wire.PartsRequest:
-			n.sendReply(c, partsSent, n.handleWanted(m))
+			n.sendReply(c, partsSent, n.handlePartsRequest(m))
 		}
 	})
 }
--- a/gossip/published.go
+++ b/gossip/published.go
@@ -19,8 +19,8 @@
 	return n.fetch.active(time.Now())
 }
 
-// AwaitPeers reports whether to wait for published entries from others rather than list the
-// store, waited after this entry began to wait.
+// AwaitPeers reports whether to wait longer for published entries from others, rather than
+// list the store; waited is how long this entry has waited so far.
 func (n *Node) AwaitPeers(waited time.Duration) bool { return shouldWait(waited, n.IsReader()) }
 
 // IsReader reports whether this entry reads the store for its data centre.
@@ -113,8 +113,8 @@
 	n.Metrics.Add("published_answers_out", 1)
 }
 
-// handleWanted returns the requested parts of large values.
-func (n *Node) handleWanted(m *wire.PartsRequest) *wire.Parts {
+// handlePartsRequest returns the requested parts of large values.
+func (n *Node) handlePartsRequest(m *wire.PartsRequest) *wire.Parts {
 	packed := n.index.Packed(m.Digests, maxPartsBytes)
 	for _, p := range packed {
 		n.Metrics.Add("published_bytes_out", int64(len(p)))
--- a/gossip/report.go
+++ b/gossip/report.go
@@ -22,10 +22,10 @@
 	// idleInterval is the pause between two reports to one entry while nothing changes.
 	idleInterval = 500 * time.Millisecond
 	// askInterval is the pause between two reports to the entry that is asked for published
-	// entries: a fraction of the 2 s within which a change is to be in force.
+	// entries: a fraction of the 2 s within which a change is to be applied.
 	askInterval = 100 * time.Millisecond
 	// memberListInterval is the pause between two reports to one entry that list members, and
-	// newcomerListInterval the pause while there are newcomers that it was not told of.
+	// newcomerListInterval the pause while there are newcomers that it has not been sent.
 	memberListInterval   = 1500 * time.Millisecond
 	newcomerListInterval = 300 * time.Millisecond
 	// maxListed bounds the members that a report lists, maxListedFirst those in the first
@@ -211,7 +211,7 @@
 	return n.work, n.workChanged
 }
 
-// ownAvoided returns the endpoints that this entry itself found silent or gone.
+// ownAvoided returns the endpoints that this entry itself found unresponsive or gone.
 func (n *Node) ownAvoided(now time.Time) []wire.AvoidedEndpoint {
 	var list []wire.AvoidedEndpoint
 	for _, a := range n.loads.Avoided(now) {
--- a/gossip/source.go
+++ b/gossip/source.go
@@ -35,7 +35,7 @@
 //
 // Only one entry is asked at a time, however long this one is behind. If all were asked at
 // once, the copies of one large answer would fill the link: none would arrive in time, the
-// configuration would not come into force, and all other traffic on that link would be late.
+// configuration would not be applied, and all other traffic on that link would be late.
 type SourceSelector struct {
 	addr string
 	// progress is when addr was chosen or last sent something new.
--- a/load/caller.go
+++ b/load/caller.go
@@ -30,8 +30,8 @@
 	Balancer *Balancer
 	// Model is the model service's model.
 	Model string
-	// Route is the plain service's route. Book and Look are the paths of its
-	// non-idempotent and its idempotent call.
+	// Route is the plain service's route. NonIdempotentPath and IdempotentPath
+	// are the paths of its non-idempotent and its idempotent call.
 	Route             string
 	NonIdempotentPath string
 	IdempotentPath    string
--- a/load/mix.go
+++ b/load/mix.go
@@ -42,7 +42,7 @@
 	Mismatches []string
 	// Duplicates counts non-idempotent calls that ran more than once.
 	Duplicates int
-	// FalseNotRun counts calls that ran although the caller was told that they did not.
+	// FalseNotRun counts calls that ran although they were reported as not run.
 	FalseNotRun int
 	// PaidOnTarget counts the paid streamed generations within both latency targets. Paid
 	// counts all paid streamed generations that were not cancelled, and also unstreamed
@@ -234,8 +234,8 @@
 	return s
 }
 
-// CheckRuns compares the results with the number of times that the service ran each call, by call
-// ID, and adds the violations found to the summary.
+// CheckRuns compares the results with the number of times that the service ran each call, by
+// call ID, and adds the violations found to the summary.
 func CheckRuns(s Summary, results []Result, runs map[string]int) Summary {
 	seen := make(map[string]bool)
 	for _, r := range results {
--- a/quota/census.go
+++ b/quota/census.go
@@ -74,8 +74,8 @@
 	return f.size
 }
 
-// FleetSizeSettled reports whether this entry takes the fleet size that it was told for that
-// of the whole fleet.
+// FleetSizeSettled reports whether this entry takes the last fleet size set for that of the
+// whole fleet.
 func (l *Ledger) FleetSizeSettled(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/quota/census_test.go
+++ b/quota/census_test.go
@@ -58,8 +58,8 @@
 	assert.GreaterOrEqual(t, whole, 0.8*l.Rate, "tokens in the two seconds after the restart")
 }
 
-// TestWaitEndsWithCaution guards against a cautious entry that tells refused callers to wait
-// as long as its reduced share requires, long after it admits all requests again.
+// TestWaitEndsWithCaution guards against a cautious entry whose refusals ask callers to wait
+// as long as its reduced share requires, although it admits all requests again much sooner.
 func TestWaitEndsWithCaution(t *testing.T) {
 	f := newFleet(2, limit)
 	f.restart(0, true)
--- a/quota/part.go
+++ b/quota/part.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// FixedShare returns this process's share of a bound, beyond which nothing is tolerated, on what
-// all entries together may use in any window.
+// FixedShare returns this process's share of a strict bound on what all entries together may
+// use in any window: nothing is tolerated beyond it.
 //
 // The bound would be exceeded when all entries start together and have not heard of each
 // other yet, when they are partitioned, or when all are killed under load and each uses its
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -85,8 +85,8 @@
 	return &t
 }
 
-// share returns the share of a limit that a fraction of the entries may use on its own, such
-// that all such groups together stay within the tolerance.
+// share returns the share of a limit that a fraction of the entries may use on its own, so
+// that all partitions of the fleet together stay within the tolerance.
 func (t Tolerance) share(l Limit, entries float64) float64 {
 	tolerated := t.allowed(l) + t.excess(l)
 	admitted := l.Rate*t.Window.Seconds() + t.depth(l)
@@ -178,7 +178,7 @@
 type account struct {
 	bucket *rate.Limiter
 	// full is the whole limit and depth the capacity of the whole bucket; share is the share
-	// of both in force.
+	// of both that applies now.
 	full  Limit
 	depth float64
 	share float64
@@ -210,7 +210,7 @@
 	Wait time.Duration
 	// Level is the level of the bucket in tokens, negative for a debt; it is for the log.
 	Level float64
-	// Share is the share of the limit in force; it is below 1 while entries are not heard.
+	// Share is the share of the limit that applies; it is below 1 while entries are not heard.
 	Share float64
 }
 
@@ -276,7 +276,7 @@
 	a.recent.add(now, -float64(tokens))
 }
 
-// account returns a workspace's account with the limit in force. The caller holds l.mu.
+// account returns a workspace's account with the current limit. The caller holds l.mu.
 func (l *Ledger) account(now time.Time, workspace ID, limit Limit) *account {
 	l.settleFleetSize(now)
 	tolerance := l.toleranceOf(limit)
@@ -301,7 +301,7 @@
 	return l.settings.Tolerance
 }
 
-// share returns the share of a limit that is in force. The caller holds l.mu.
+// share returns the share of a limit that applies now. The caller holds l.mu.
 func (l *Ledger) share(now time.Time, limit Limit) float64 {
 	return l.shareAmong(now, limit, l.fleet.assumed())
 }
@@ -330,8 +330,8 @@
 	}
 }
 
-// setLimit puts a share of a limit in force. A bucket holds at least one token or
-// request, so that a small share still admits some.
+// setLimit applies a share of a limit. A bucket holds at least one token or request, so that
+// a small share still admits some.
 func (a *account) setLimit(now time.Time, full Limit, depth, share float64) {
 	if a.full == full && a.depth == depth && a.share == share {
 		return
@@ -345,8 +345,8 @@
 	a.bucket.SetBurstAt(now, int(math.Ceil(max(depth*share, 1))))
 }
 
-// setInitialLevel fills the bucket of a new account: wholly, or after a restart with a
-// fraction of the burst.
+// setInitialLevel fills the bucket of a new account: completely, or after a restart with
+// a fraction of the burst.
 func (a *account) setInitialLevel(now time.Time, restarted bool) {
 	a.initial = a.depth
 	if restarted {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -209,7 +209,7 @@
 	}
 }
 
-// TestPartitionsAndRestarts: whichever entries are cut off, deaf or restarted, all together
+// TestPartitionsAndRestarts: whichever entries are partitioned, deaf or restarted, all together
 // stay within what is tolerated.
 func TestPartitionsAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -330,8 +330,8 @@
 	assert.InDelta(t, admitted[0], admitted[1], float64(asked[0])/10)
 }
 
-// TestWaitUntilAdmitted: a refused caller that comes back after the time it was told is
-// admitted if nobody else came.
+// TestWaitUntilAdmitted: a refused caller that retries after the returned Wait is admitted
+// if no other request came.
 func TestWaitUntilAdmitted(t *testing.T) {
 	f := newFleet(1, limit)
 	v := quota.Decision{OK: true}
--- a/quota/stated.go
+++ b/quota/stated.go
@@ -20,7 +20,7 @@
 	maxEndpointLimits = 64
 	// endpointLimitReportTime is how long a limit is reported to others.
 	endpointLimitReportTime = 3 * time.Second
-	// endpointLimitRetention is how long a limit stays in force without further answers.
+	// endpointLimitRetention is how long a limit applies without further answers.
 	endpointLimitRetention = 10 * time.Minute
 	// limitChangeTime is how long after a change of a limit others need to learn of it soon.
 	limitChangeTime = time.Second
@@ -55,8 +55,8 @@
 	lastOwn, changed time.Time
 }
 
-// SetEndpointLimit applies what an endpoint advertises in the answer to a request that was sent at
-// asked. It reports whether that changes the endpoint's limit.
+// SetEndpointLimit applies what an endpoint advertises in the answer to a request that was
+// sent at asked. It reports whether that changes the endpoint's limit.
 func (l *Ledger) SetEndpointLimit(now, asked time.Time, s EndpointLimit) (changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/quota/ways_test.go
+++ b/quota/ways_test.go
@@ -61,7 +61,7 @@
 	return true
 }
 
-// demand is the recent demand at each entry, and what it was told about the others.
+// demand is the recent demand at each entry, and what the others reported to it.
 type demand struct {
 	own      [limiterEntries]float64
 	reported [limiterEntries][limiterEntries]float64
--- a/soak/processes/check.go
+++ b/soak/processes/check.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// recordNotRun records that a caller was told that its request did not run.
+// recordNotRun records that a request was reported to its caller as not run.
 func (r *run) recordNotRun(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/soak/world.go
+++ b/soak/world.go
@@ -276,7 +276,7 @@
 	}
 }
 
-// recordNotRun records that a caller was told that its attempt did not run.
+// recordNotRun records that an attempt was reported to its caller as not run.
 func (w *world) recordNotRun(id wire.ID) {
 	t := w.attempts[id]
 	t.reportedNotRun = true
--- a/source/source.go
+++ b/source/source.go
@@ -23,7 +23,7 @@
 // VMState is the state of a VM as the platform reports it.
 type VMState string
 
-// States of a VM. One that is Leaving is about to be removed.
+// States of a VM. One that is VMLeaving is about to be removed.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
--- a/standin/store.go
+++ b/standin/store.go
@@ -132,7 +132,7 @@
 	return s.addEraHeader(s.limitReads(m))
 }
 
-// limitReads refuses calls beyond the rate in Reads.
+// limitReads refuses calls beyond the rate of ReadLimiter.
 func (s *Store) limitReads(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.ReadLimiter != nil && !s.ReadLimiter.Allow() {
