--- a/fleet/answer_test.go
+++ b/fleet/answer_test.go
@@ -41,7 +41,7 @@
 }
 
 // TestDecodeAgentLostMidAnswer: the decode agent crashes while an answer is streamed, and
-// redialling fails. After a time-out the entry must continue the answer elsewhere. It does not
+// redialing fails. After a timeout the entry must continue the answer elsewhere. It does not
 // free the orphaned request at the engine: no agent admits work to that engine until its next
 // agent starts.
 func TestDecodeAgentLostMidAnswer(t *testing.T) {
--- a/fleet/change_test.go
+++ b/fleet/change_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// startBackgroundLoad sends generations and bookings until the returned function is called, which
-// returns their results.
+// startBackgroundLoad sends generations and bookings until the returned function is called,
+// which returns their results.
 func (s *sim) startBackgroundLoad() func() []load.Result {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/gossip/link.go
+++ b/gossip/link.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// silenceTimeout is how long a connection may bring no reply before it is replaced. Every
+	// idleTimeout is how long a connection may bring no reply before it is replaced. Every
 	// report is answered, so silence means that the connection is dead. Without the timeout
 	// an entry would miss the work of others and overload the engines that they use.
-	silenceTimeout = 1200 * time.Millisecond
+	idleTimeout = 1200 * time.Millisecond
 	// dialTimeout and redialPause bound the attempts to reach an entry. The first startDials
 	// attempts time out sooner and their pauses double, because an entry that is just
 	// starting answers soon.
--- a/gossip/members.go
+++ b/gossip/members.go
@@ -366,12 +366,12 @@
 // good.
 const maxEntriesRetention = time.Hour
 
-// MaxEntries returns the largest fleet size lately, this entry included, and how long ago it
+// MaxEntries returns the largest recent fleet size, this entry included, and how long ago it
 // was seen.
 //
 // An entry that starts in a small partition must not share the retry budget among the few
 // entries it sees: together with the others, which it can't hear, it would allow too many
-// retries. The entries in its partition tell it how many there were.
+// retries. The entries in its partition report the largest fleet size to it.
 func (m *Members) MaxEntries(now time.Time) (n int, age time.Duration) {
 	count := len(m.lastMentioned) + 1
 	if count >= m.maxEntries || now.Sub(m.maxEntriesAt) > maxEntriesRetention {
--- a/gossip/node.go
+++ b/gossip/node.go
@@ -46,7 +46,7 @@
 	// called with the age of a copy that another entry relayed.
 	CatalogAge func() time.Duration
 	OnReceive  func(age time.Duration)
-	// OnFleetSize is called with the largest fleet size lately, this entry included.
+	// OnFleetSize is called with the largest recent fleet size, this entry included.
 	OnFleetSize func(n int)
 	// Metrics counts what is sent to and received from other entries.
 	Metrics *metrics.Set
@@ -210,7 +210,7 @@
 	}
 }
 
-// maxEntries returns the largest fleet size lately, and how long ago it was seen.
+// maxEntries returns the largest recent fleet size, and how long ago it was seen.
 func (n *Node) maxEntries(now time.Time) (int, time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/gossip/report.go
+++ b/gossip/report.go
@@ -106,7 +106,7 @@
 		if l.conn == nil {
 			continue
 		}
-		if l.conn.IdleTime(now) > silenceTimeout {
+		if l.conn.IdleTime(now) > idleTimeout {
 			l.conn.Close()
 			continue
 		}
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -26,7 +26,7 @@
 	// GrantWithinMemory: an agent never grants more requests or KV tokens than
 	// its endpoint has room for.
 	GrantWithinMemory Rule = "grant-within-memory"
-	// LiveHolder: no lease outlives its holder by more than the lease TTL.
+	// LiveHolder: no lease outlives its holder by more than the lease time.
 	LiveHolder Rule = "live-holder"
 	// NoGrantAfterDrain: a draining agent grants nothing.
 	NoGrantAfterDrain Rule = "no-grant-after-drain"
--- a/jsonc/finding.go
+++ b/jsonc/finding.go
@@ -40,7 +40,7 @@
 	Severity Severity
 	// Path is the JSON pointer of the value.
 	Path string
-	// Text describes the problem.
+	// Text says what is wrong and how to correct it.
 	Text string
 }
 
--- a/quota/census.go
+++ b/quota/census.go
@@ -21,7 +21,7 @@
 // entry, assumes at least assumedMinEntries until the number settles or an entry that knows
 // the whole fleet confirms it.
 type fleetSize struct {
-	// size is the largest fleet size lately, zero while unknown, and peak the largest ever.
+	// size is the largest recent fleet size, zero while unknown, and peak the largest ever.
 	size, peak int
 	// cautious says that the use by a former incarnation of this entry is unknown.
 	cautious bool
@@ -38,7 +38,7 @@
 
 func (f *fleetSize) unknown() bool { return f.size <= 0 }
 
-// update sets the largest fleet size lately.
+// update sets the largest recent fleet size.
 func (f *fleetSize) update(size int) {
 	if size > f.size {
 		f.growing = f.growing || !f.unknown() || size <= firstContactSize
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -166,7 +166,7 @@
 	l.limits = limits
 }
 
-// SetFleetSize sets the largest fleet size lately, this entry included. Zero means unknown:
+// SetFleetSize sets the largest recent fleet size, this entry included. Zero means unknown:
 // nothing that has a limit is admitted then.
 func (l *Ledger) SetFleetSize(fleetSize int) {
 	l.mu.Lock()
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -209,8 +209,8 @@
 	}
 }
 
-// TestPartitionsAndRestarts: whichever entries are partitioned, deaf or restarted, all together
-// stay within what is tolerated.
+// TestPartitionsAndRestarts: whichever entries are partitioned, deaf or restarted, all of them
+// together stay within what is tolerated.
 func TestPartitionsAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 27).Draw(t, "entries")
--- a/quota/ways_test.go
+++ b/quota/ways_test.go
@@ -130,8 +130,8 @@
 	return spend(w.buckets[i], now, tokens)
 }
 
-// randomDrop refuses requests with the probability by which the total demand exceeds the
-// limit.
+// randomDrop refuses requests with a probability equal to the fraction of the total demand that
+// exceeds the limit.
 type randomDrop struct {
 	demand
 	limit quota.Limit
--- a/soak/world.go
+++ b/soak/world.go
@@ -286,7 +286,7 @@
 }
 
 // maxStaleLease is how long an agent may keep a lease after its caller or entry
-// has disconnected, not counting pauses of the agent: the lease TTL after the
+// has disconnected, not counting pauses of the agent: the lease time after the
 // last heartbeat, which may arrive late, plus the extension after a pause and a
 // margin of one second. It applies once more for each pause, because heartbeats
 // sent before the disconnect are then read late.
