--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -105,7 +105,7 @@
 	// The entries of live endpoints expire while the store is unavailable. They keep
 	// counting until their endpoints had time to register again; otherwise requests
 	// would be refused for lack of endpoints right after the store's return. Endpoints
-	// that are really gone are avoided because they send no reports.
+	// that are really gone are avoided because they are unresponsive.
 	graceUntil time.Time
 }
 
--- a/gossip/members.go
+++ b/gossip/members.go
@@ -50,8 +50,8 @@
 	// capacities in Mbit/s, including those learned from third parties.
 	access map[string]StoreAccess
 	links  map[string]float64
-	// lastSeen holds when each entry was last heard directly, aliveSince since when it has
-	// been alive without a gap, and lastMentioned when any entry last mentioned it.
+	// lastSeen holds when a message of each entry was last received, aliveSince since when it
+	// has been alive without a gap, and lastMentioned when any entry last mentioned it.
 	lastSeen      map[string]time.Time
 	aliveSince    map[string]time.Time
 	lastMentioned map[string]time.Time
@@ -164,7 +164,7 @@
 	return list
 }
 
-// roundRobin returns up to limit elements of a sorted list, beginning behind listCursor.
+// roundRobin returns up to limit elements of a sorted list, beginning after listCursor.
 func (m *Members) roundRobin(list []string, limit int) []string {
 	if limit <= 0 || len(list) <= limit {
 		return list[:max(min(limit, len(list)), 0)]
@@ -173,7 +173,7 @@
 	return append(slices.Clone(list[from:]), list[:from]...)[:limit]
 }
 
-// LastJoin returns when the last newcomer was first heard.
+// LastJoin returns when the last newcomer became alive.
 func (m *Members) LastJoin() (newest time.Time) {
 	for _, at := range m.aliveSince {
 		if at.After(newest) {
@@ -237,9 +237,9 @@
 // entry mentioned lately. It has to be called regularly.
 //
 // Entries that are partitioned from each other must not both give orders to an engine. An
-// entry leads only while most of the entries that it has seen alive at a time are alive,
-// while it hears at least one other entry if there are seeds, and after it has had the lowest
-// address for leadDelay.
+// entry leads only while more than half of the most entries that it has seen alive at a time
+// are alive, while at least one other entry is alive if there are seeds, and after it has had
+// the lowest address for leadDelay.
 func (m *Members) IsLeader(now time.Time) bool {
 	alive := len(m.Alive(now)) + 1
 	m.peakAlive = max(m.peakAlive, alive)
@@ -370,7 +370,7 @@
 // was seen.
 //
 // An entry that starts in a small partition must not share the retry budget among the few
-// entries it sees: together with the others, which it can't hear, it would allow too many
+// entries it sees: together with the others, which it can't reach, it would allow too many
 // retries. The entries in its partition report the largest fleet size to it.
 func (m *Members) MaxEntries(now time.Time) (n int, age time.Duration) {
 	count := len(m.lastMentioned) + 1
--- a/gossip/published.go
+++ b/gossip/published.go
@@ -70,11 +70,11 @@
 	at    time.Time
 }
 
-// repeatAnswerInterval is the pause before the same question from a former era is answered
+// repeatAnswerInterval is the pause before the same request from a former era is answered
 // again.
 const repeatAnswerInterval = 2 * time.Second
 
-// mayAnswer reports whether to answer a question for published entries.
+// mayAnswer reports whether to answer a request for published entries.
 //
 // Entries of a version without eras take the revisions of a new era for old ones and ask for
 // all of its entries ten times a second, endlessly. An entry that knows eras asks from the
@@ -138,7 +138,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.fetch.active(now) {
-		return nil // a late answer to an earlier question
+		return nil // a late answer to an earlier request
 	}
 	abandoned := n.fetch
 	f, err := newFetch(now, addr, r, func(digest uint64) ([]byte, bool) {
--- a/gossip/report.go
+++ b/gossip/report.go
@@ -143,7 +143,7 @@
 }
 
 // membersDue returns how many members the next report lists; newest is when the last newcomer
-// was first heard.
+// became alive.
 func (l *link) membersDue(now, newest time.Time) int {
 	since := now.Sub(l.membersSent)
 	switch {
--- a/gossip/use.go
+++ b/gossip/use.go
@@ -33,7 +33,7 @@
 }
 
 // mergeUse merges the use and the endpoint limits that another entry reports. A report
-// without any use still shows that the entry is heard.
+// without any use still shows that the entry is reachable.
 func (n *Node) mergeUse(now time.Time, r *wire.Report) {
 	uses := make([]quota.Use, 0, len(r.Use))
 	for _, u := range r.Use {
--- a/quota/census.go
+++ b/quota/census.go
@@ -8,8 +8,8 @@
 	settleTime = 1200 * time.Millisecond
 	// assumedMinEntries is the minimum fleet size that such an entry assumes until then.
 	assumedMinEntries = 64
-	// firstContactSize is the fleet size seen by an entry that has heard of a single other
-	// one, which knows nobody else.
+	// firstContactSize is the fleet size seen by an entry that knows a single other one, which
+	// knows no further entry.
 	firstContactSize = 2
 )
 
--- a/quota/news.go
+++ b/quota/news.go
@@ -62,7 +62,7 @@
 	incarnation Incarnation
 	use         map[ID]*peerUse
 	lastHeard   time.Time
-	// silent says that the entry is no longer heard.
+	// silent says that the entry has stopped reporting.
 	silent bool
 }
 
@@ -198,7 +198,8 @@
 	}
 }
 
-// markSilent expects no more use by an entry that fell silent. The caller holds l.mu.
+// markSilent expects no more use by an entry that has stopped reporting. The caller holds
+// l.mu.
 func (l *Ledger) markSilent(now time.Time, p *peer) {
 	if p.silent {
 		return
--- a/quota/part.go
+++ b/quota/part.go
@@ -5,11 +5,11 @@
 // FixedShare returns this process's share of a strict bound on what all entries together may
 // use in any window: nothing is tolerated beyond it.
 //
-// The bound would be exceeded when all entries start together and have not heard of each
-// other yet, when they are partitioned, or when all are killed under load and each uses its
+// The bound would be exceeded when all entries start together and do not know each other
+// yet, when they are partitioned, or when all are killed under load and each uses its
 // share again within one window after its restart. Therefore shares never grow: a process
 // that knows of no other, though there are some, has none, and a new one has none for one
-// window, in which it learns the fleet size, including entries that it does not hear.
+// window, in which it learns the fleet size, including the entries that it can't reach.
 func (l *Ledger) FixedShare(now time.Time, total float64, window time.Duration) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -15,7 +15,7 @@
 
 const (
 	// partitionMargin is the fraction of the tolerated use that is shared out while entries
-	// are not heard; the rest covers what is admitted until the silence is noticed.
+	// are unreachable; the rest covers what is admitted until that is detected.
 	partitionMargin = 0.8
 	// earlyRefusalFraction is the fraction of a bucket below which requests are refused at
 	// random.
@@ -37,8 +37,8 @@
 	reportTime     = 10 * time.Second
 	// accountIdleTime is how long an unused account is kept.
 	accountIdleTime = time.Minute
-	// silenceTimeout is how long after its last report an entry counts as heard, and
-	// countInterval the pause between two counts of these entries.
+	// silenceTimeout is how long after its last report an entry counts as reachable, and
+	// countInterval the pause between two counts of the reachable entries.
 	silenceTimeout = 800 * time.Millisecond
 	countInterval  = 100 * time.Millisecond
 	// peerRateTime is the time constant with which the rate is averaged at which another
@@ -118,7 +118,8 @@
 	accounts          map[ID]*account
 	peers             map[string]*peer
 	fleet             fleetSize
-	// reachable is the number of entries heard at reachableAt, this one included.
+	// reachable is the number of entries that were reachable at reachableAt, this one
+	// included.
 	reachable   int
 	reachableAt time.Time
 	swept       time.Time
@@ -210,7 +211,7 @@
 	Wait time.Duration
 	// Level is the level of the bucket in tokens, negative for a debt; it is for the log.
 	Level float64
-	// Share is the share of the limit that applies; it is below 1 while entries are not heard.
+	// Share is the share of the limit that applies; it is below 1 while entries are unreachable.
 	Share float64
 }
 
@@ -314,8 +315,8 @@
 	return tolerance.share(limit, float64(l.reachable)/float64(entries))
 }
 
-// countReachable counts the entries heard, at most once per countInterval. The caller holds
-// l.mu.
+// countReachable counts the reachable entries, at most once per countInterval. The caller
+// holds l.mu.
 func (l *Ledger) countReachable(now time.Time) {
 	if now.Sub(l.reachableAt) < countInterval {
 		return
