--- a/gossip/node.go
+++ b/gossip/node.go
@@ -42,11 +42,11 @@
 	// fresh.
 	Behind      func() bool
 	StoreFailed func() bool
-	// CatalogAge returns the age of this entry's copy of the published entries. Heard is called with
-	// the age of a copy that another entry relayed.
+	// CatalogAge returns the age of this entry's copy of the published entries. OnReceive is
+	// called with the age of a copy that another entry relayed.
 	CatalogAge func() time.Duration
 	OnReceive  func(age time.Duration)
-	// OnFleetSize is called with the largest fleet size lately, this entry included.
+	// OnFleetSize is called with the largest recent fleet size, this entry included.
 	OnFleetSize func(n int)
 	// Metrics counts what is sent to and received from other entries.
 	Metrics *metrics.Set
@@ -115,7 +115,7 @@
 			n.sendReply(c, repliesSent, n.handleReport(m, !introduced))
 			introduced = true
 		case *wire.PartsRequest:
-			n.sendReply(c, partsSent, n.handleWanted(m))
+			n.sendReply(c, partsSent, n.handlePartsRequest(m))
 		}
 	})
 }
@@ -210,7 +210,7 @@
 	}
 }
 
-// maxEntries returns the largest fleet size lately, and how long ago it was seen.
+// maxEntries returns the largest recent fleet size, and how long ago it was seen.
 func (n *Node) maxEntries(now time.Time) (int, time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/gossip/published.go
+++ b/gossip/published.go
@@ -19,8 +19,8 @@
 	return n.fetch.active(time.Now())
 }
 
-// AwaitPeers reports whether to wait for published entries from others rather than list the
-// store, waited after this entry began to wait.
+// AwaitPeers reports whether to wait longer for published entries from others, rather than
+// list the store; waited is how long this entry has waited so far.
 func (n *Node) AwaitPeers(waited time.Duration) bool { return shouldWait(waited, n.IsReader()) }
 
 // IsReader reports whether this entry reads the store for its data centre.
@@ -70,11 +70,11 @@
 	at    time.Time
 }
 
-// repeatAnswerInterval is the pause before the same question from a former era is answered
+// repeatAnswerInterval is the pause before the same request from a former era is answered
 // again.
 const repeatAnswerInterval = 2 * time.Second
 
-// mayAnswer reports whether to answer a question for published entries.
+// mayAnswer reports whether to answer a request for published entries.
 //
 // Entries of a version without eras take the revisions of a new era for old ones and ask for
 // all of its entries ten times a second, endlessly. An entry that knows eras asks from the
@@ -113,8 +113,8 @@
 	n.Metrics.Add("published_answers_out", 1)
 }
 
-// handleWanted returns the requested parts of large values.
-func (n *Node) handleWanted(m *wire.PartsRequest) *wire.Parts {
+// handlePartsRequest returns the requested parts of large values.
+func (n *Node) handlePartsRequest(m *wire.PartsRequest) *wire.Parts {
 	packed := n.index.Packed(m.Digests, maxPartsBytes)
 	for _, p := range packed {
 		n.Metrics.Add("published_bytes_out", int64(len(p)))
@@ -138,7 +138,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.fetch.active(now) {
-		return nil // a late answer to an earlier question
+		return nil // a late answer to an earlier request
 	}
 	abandoned := n.fetch
 	f, err := newFetch(now, addr, r, func(digest uint64) ([]byte, bool) {
--- a/gossip/report.go
+++ b/gossip/report.go
@@ -22,10 +22,10 @@
 	// idleInterval is the pause between two reports to one entry while nothing changes.
 	idleInterval = 500 * time.Millisecond
 	// askInterval is the pause between two reports to the entry that is asked for published
-	// entries: a fraction of the 2 s within which a change is to be in force.
+	// entries: a fraction of the 2 s within which a change is to be applied.
 	askInterval = 100 * time.Millisecond
 	// memberListInterval is the pause between two reports to one entry that list members, and
-	// newcomerListInterval the pause while there are newcomers that it was not told of.
+	// newcomerListInterval the pause while there are newcomers that it has not been sent.
 	memberListInterval   = 1500 * time.Millisecond
 	newcomerListInterval = 300 * time.Millisecond
 	// maxListed bounds the members that a report lists, maxListedFirst those in the first
@@ -106,7 +106,7 @@
 		if l.conn == nil {
 			continue
 		}
-		if l.conn.IdleTime(now) > silenceTimeout {
+		if l.conn.IdleTime(now) > idleTimeout {
 			l.conn.Close()
 			continue
 		}
@@ -143,7 +143,7 @@
 }
 
 // membersDue returns how many members the next report lists; newest is when the last newcomer
-// was first heard.
+// became alive.
 func (l *link) membersDue(now, newest time.Time) int {
 	since := now.Sub(l.membersSent)
 	switch {
@@ -211,7 +211,7 @@
 	return n.work, n.workChanged
 }
 
-// ownAvoided returns the endpoints that this entry itself found silent or gone.
+// ownAvoided returns the endpoints that this entry itself found unresponsive or gone.
 func (n *Node) ownAvoided(now time.Time) []wire.AvoidedEndpoint {
 	var list []wire.AvoidedEndpoint
 	for _, a := range n.loads.Avoided(now) {
--- a/quota/census.go
+++ b/quota/census.go
@@ -8,8 +8,8 @@
 	settleTime = 1200 * time.Millisecond
 	// assumedMinEntries is the minimum fleet size that such an entry assumes until then.
 	assumedMinEntries = 64
-	// firstContactSize is the fleet size seen by an entry that has heard of a single other
-	// one, which knows nobody else.
+	// firstContactSize is the fleet size seen by an entry that knows a single other one, which
+	// knows no further entry.
 	firstContactSize = 2
 )
 
@@ -21,7 +21,7 @@
 // entry, assumes at least assumedMinEntries until the number settles or an entry that knows
 // the whole fleet confirms it.
 type fleetSize struct {
-	// size is the largest fleet size lately, zero while unknown, and peak the largest ever.
+	// size is the largest recent fleet size, zero while unknown, and peak the largest ever.
 	size, peak int
 	// cautious says that the use by a former incarnation of this entry is unknown.
 	cautious bool
@@ -38,7 +38,7 @@
 
 func (f *fleetSize) unknown() bool { return f.size <= 0 }
 
-// update sets the largest fleet size lately.
+// update sets the largest recent fleet size.
 func (f *fleetSize) update(size int) {
 	if size > f.size {
 		f.growing = f.growing || !f.unknown() || size <= firstContactSize
@@ -74,8 +74,8 @@
 	return f.size
 }
 
-// FleetSizeSettled reports whether this entry takes the fleet size that it was told for that
-// of the whole fleet.
+// FleetSizeSettled reports whether this entry takes the last fleet size set for that of the
+// whole fleet.
 func (l *Ledger) FleetSizeSettled(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -15,7 +15,7 @@
 
 const (
 	// partitionMargin is the fraction of the tolerated use that is shared out while entries
-	// are not heard; the rest covers what is admitted until the silence is noticed.
+	// are unreachable; the rest covers what is admitted until that is detected.
 	partitionMargin = 0.8
 	// earlyRefusalFraction is the fraction of a bucket below which requests are refused at
 	// random.
@@ -37,8 +37,8 @@
 	reportTime     = 10 * time.Second
 	// accountIdleTime is how long an unused account is kept.
 	accountIdleTime = time.Minute
-	// silenceTimeout is how long after its last report an entry counts as heard, and
-	// countInterval the pause between two counts of these entries.
+	// silenceTimeout is how long after its last report an entry counts as reachable, and
+	// countInterval the pause between two counts of the reachable entries.
 	silenceTimeout = 800 * time.Millisecond
 	countInterval  = 100 * time.Millisecond
 	// peerRateTime is the time constant with which the rate is averaged at which another
@@ -85,8 +85,8 @@
 	return &t
 }
 
-// share returns the share of a limit that a fraction of the entries may use on its own, such
-// that all such groups together stay within the tolerance.
+// share returns the share of a limit that a fraction of the entries may use on its own, so
+// that all partitions of the fleet together stay within the tolerance.
 func (t Tolerance) share(l Limit, entries float64) float64 {
 	tolerated := t.allowed(l) + t.excess(l)
 	admitted := l.Rate*t.Window.Seconds() + t.depth(l)
@@ -118,7 +118,8 @@
 	accounts          map[ID]*account
 	peers             map[string]*peer
 	fleet             fleetSize
-	// reachable is the number of entries heard at reachableAt, this one included.
+	// reachable is the number of entries that were reachable at reachableAt, this one
+	// included.
 	reachable   int
 	reachableAt time.Time
 	swept       time.Time
@@ -166,7 +167,7 @@
 	l.limits = limits
 }
 
-// SetFleetSize sets the largest fleet size lately, this entry included. Zero means unknown:
+// SetFleetSize sets the largest recent fleet size, this entry included. Zero means unknown:
 // nothing that has a limit is admitted then.
 func (l *Ledger) SetFleetSize(fleetSize int) {
 	l.mu.Lock()
@@ -178,7 +179,7 @@
 type account struct {
 	bucket *rate.Limiter
 	// full is the whole limit and depth the capacity of the whole bucket; share is the share
-	// of both in force.
+	// of both that applies now.
 	full  Limit
 	depth float64
 	share float64
@@ -210,7 +211,7 @@
 	Wait time.Duration
 	// Level is the level of the bucket in tokens, negative for a debt; it is for the log.
 	Level float64
-	// Share is the share of the limit in force; it is below 1 while entries are not heard.
+	// Share is the share of the limit that applies; it is below 1 while entries are unreachable.
 	Share float64
 }
 
@@ -276,7 +277,7 @@
 	a.recent.add(now, -float64(tokens))
 }
 
-// account returns a workspace's account with the limit in force. The caller holds l.mu.
+// account returns a workspace's account with the current limit. The caller holds l.mu.
 func (l *Ledger) account(now time.Time, workspace ID, limit Limit) *account {
 	l.settleFleetSize(now)
 	tolerance := l.toleranceOf(limit)
@@ -301,7 +302,7 @@
 	return l.settings.Tolerance
 }
 
-// share returns the share of a limit that is in force. The caller holds l.mu.
+// share returns the share of a limit that applies now. The caller holds l.mu.
 func (l *Ledger) share(now time.Time, limit Limit) float64 {
 	return l.shareAmong(now, limit, l.fleet.assumed())
 }
@@ -314,8 +315,8 @@
 	return tolerance.share(limit, float64(l.reachable)/float64(entries))
 }
 
-// countReachable counts the entries heard, at most once per countInterval. The caller holds
-// l.mu.
+// countReachable counts the reachable entries, at most once per countInterval. The caller
+// holds l.mu.
 func (l *Ledger) countReachable(now time.Time) {
 	if now.Sub(l.reachableAt) < countInterval {
 		return
@@ -330,8 +331,8 @@
 	}
 }
 
-// setLimit puts a share of a limit in force. A bucket holds at least one token or
-// request, so that a small share still admits some.
+// setLimit applies a share of a limit. A bucket holds at least one token or request, so that
+// a small share still admits some.
 func (a *account) setLimit(now time.Time, full Limit, depth, share float64) {
 	if a.full == full && a.depth == depth && a.share == share {
 		return
@@ -345,8 +346,8 @@
 	a.bucket.SetBurstAt(now, int(math.Ceil(max(depth*share, 1))))
 }
 
-// setInitialLevel fills the bucket of a new account: wholly, or after a restart with a
-// fraction of the burst.
+// setInitialLevel fills the bucket of a new account: completely, or after a restart with
+// a fraction of the burst.
 func (a *account) setInitialLevel(now time.Time, restarted bool) {
 	a.initial = a.depth
 	if restarted {
--- a/quota/ways_test.go
+++ b/quota/ways_test.go
@@ -61,7 +61,7 @@
 	return true
 }
 
-// demand is the recent demand at each entry, and what it was told about the others.
+// demand is the recent demand at each entry, and what the others reported to it.
 type demand struct {
 	own      [limiterEntries]float64
 	reported [limiterEntries][limiterEntries]float64
@@ -130,8 +130,8 @@
 	return spend(w.buckets[i], now, tokens)
 }
 
-// randomDrop refuses requests with the probability by which the total demand exceeds the
-// limit.
+// randomDrop refuses requests with a probability equal to the fraction of the total demand that
+// exceeds the limit.
 type randomDrop struct {
 	demand
 	limit quota.Limit
