--- a/inspect/inspect_test.go
+++ b/inspect/inspect_test.go
@@ -10,10 +10,10 @@
 	"ebonypulley/inspect"
 )
 
-const logs = `  5.46 edge-2 {"level":"warn","ts":100.5,"msg":"request given up","entry":"edge-2","request":"a","why":"not-run","took":0.2,"error":"router.not-run.no-endpoint: no engine of llm has room","event":6003}
+const logs = `  5.46 edge-2 {"level":"warn","ts":100.5,"msg":"request failed","entry":"edge-2","request":"a","why":"not-run","took":0.2,"error":"router.not-run.no-endpoint: no engine of llm has room","event":6003}
 {"level":"info","ts":100.1,"msg":"generation placed","entry":"edge-1","request":"a","decode":"i-1","fill":0.98,"event":6004}
-{"level":"warn","ts":101,"msg":"request given up","entry":"edge-1","request":"b","why":"not-run","error":"router.not-run.no-endpoint: no engine of llm has room","event":6003}
-{"level":"warn","ts":102,"msg":"answer broken off: it could not be completed","entry":"edge-1","request":"c","why":"unknown","error":"router.lost: stream of i-1, cause: read tcp 1.2.3.4:5: connection reset by peer","event":4003}
+{"level":"warn","ts":101,"msg":"request failed","entry":"edge-1","request":"b","why":"not-run","error":"router.not-run.no-endpoint: no engine of llm has room","event":6003}
+{"level":"warn","ts":102,"msg":"answer aborted: it could not be completed","entry":"edge-1","request":"c","why":"unknown","error":"router.lost: stream of i-1, cause: read tcp 1.2.3.4:5: connection reset by peer","event":4003}
 {"level":"info","ts":103,"msg":"request answered","entry":"edge-1","request":"d","event":6002}
 not a log line
 `
