--- a/agent/health.go
+++ b/agent/health.go
@@ -147,7 +147,7 @@
 // reports whether the work in progress has completed.
 //
 // Without this, a new model that an operator declares while drafts are being
-// written would break off all of them at once.
+// written would abort all of them at once.
 func (a *Agent) readyForOrder() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/orphan.go
+++ b/agent/orphan.go
@@ -13,7 +13,7 @@
 // for. A request is aborted only if two consecutive checks found it, because a
 // check may overlap with an import that has just begun.
 //
-// An agent that dies leaves its requests in the engine, whose memory then is
+// An agent that crashes leaves its requests in the engine. Their memory is then
 // neither under a lease nor freed by anybody. All work for the engine passes
 // through this agent, so nobody waits for a request that it does not know.
 func (a *Agent) freeOrphans(ctx context.Context, client *engine.Client) error {
--- a/agent/service.go
+++ b/agent/service.go
@@ -28,11 +28,12 @@
 
 // newService returns a client that uses each connection for one call only.
 //
-// A kept connection that has gone silent swallows the next call, so that a
-// lookup never ends. Also, net/http retries a request by itself when a kept
-// connection breaks before the answer and the request counts as repeatable, as
-// a POST with an Idempotency-Key does, so that a booking that was started once
-// runs twice. It does not retry a request on a fresh connection.
+// A pooled connection that has gone silent swallows the next call, so that an
+// idempotent call never ends. Also, net/http retries a request by itself when a
+// pooled connection breaks before the answer and the request counts as
+// repeatable, as a POST with an Idempotency-Key does, so that a non-idempotent
+// call that was started once runs twice. It does not retry a request on a new
+// connection.
 func newService(base string, dial ebonypulley.Dialer) service {
 	client := dial.HTTPClient(true)
 	// Redirects are returned to the caller, not followed.
--- a/agent/session.go
+++ b/agent/session.go
@@ -120,9 +120,9 @@
 
 func (a *Agent) handle(s *session, m wire.Message) {
 	if c, ok := m.(*wire.Config); ok {
-		verdict, findings := a.store.Offer("peer "+s.name, c.Text)
-		a.configFetch.Received(s, verdict)
-		config.LogOfferResult(a.log, verdict, a.store.Generation(), findings)
+		result, findings := a.store.Offer("peer "+s.name, c.Text)
+		a.configFetch.Received(s, result)
+		config.LogOfferResult(a.log, result, a.store.Generation(), findings)
 		return
 	}
 	a.mu.Lock()
--- a/attempt/key.go
+++ b/attempt/key.go
@@ -30,7 +30,7 @@
 	// callers and agents.
 	maxClockSkew = 2 * time.Second
 	// ownerChangeMargin is how long after a change of the key owners other
-	// owners may still accept keys: a configuration is in force everywhere
+	// owners may still accept keys: a configuration is applied everywhere
 	// within 5 s, and clocks may differ.
 	ownerChangeMargin = 5*time.Second + maxClockSkew
 )
--- a/attempt/server.go
+++ b/attempt/server.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// replyState sends the state of an attempt. Running is sent as well, to
+// replyState sends the state of an attempt. StateRunning is sent as well, to
 // acknowledge the entry's message.
 func (s *Server) replyState(holder wire.Incarnation, id wire.ID) {
 	state, answer, _ := s.table.State(id)
--- a/attempt/table.go
+++ b/attempt/table.go
@@ -128,8 +128,8 @@
 	return true, wire.StateRunning
 }
 
-// Withdraw returns the state of an attempt, which is final unless it is Running.
-// An attempt that has not started never will.
+// Withdraw returns the state of an attempt, which is final unless it is
+// StateRunning. An attempt that has not started never will.
 func (t *Table) Withdraw(now time.Time, id wire.ID) (wire.State, *Answer) {
 	rec, ok := t.records[id]
 	if !ok {
@@ -144,8 +144,8 @@
 	return rec.state(), rec.answer
 }
 
-// stateWithoutRecord returns the state of an ID that has no record: NotRun, or
-// Unknown if the ID is so old that its record may have been deleted.
+// stateWithoutRecord returns the state of an ID that has no record: StateNotRun, or
+// StateUnknown if the ID is so old that its record may have been deleted.
 func (t *Table) stateWithoutRecord(now time.Time, id wire.ID) wire.State {
 	sec, nsec := uuid.UUID(id).Time().UnixTime()
 	if now.Sub(time.Unix(sec, nsec)) > maxRecordAge {
@@ -166,7 +166,7 @@
 }
 
 // Fail ends a started attempt without an answer. If notRun is true, the service
-// provably never received the call; otherwise its state stays Unknown.
+// provably never received the call; otherwise its state is StateUnknown from now on.
 func (t *Table) Fail(id wire.ID, notRun bool) {
 	rec, ok := t.records[id]
 	if !ok || rec.phase != started {
--- a/attempt/table_test.go
+++ b/attempt/table_test.go
@@ -34,7 +34,7 @@
 // history records what ran and what was reported, independently of the Table.
 type history struct {
 	runs           map[wire.ID]int
-	reportedNotRun map[wire.ID]bool // reported as NotRun
+	reportedNotRun map[wire.ID]bool // reported as StateNotRun
 	keyRuns        map[string]int
 	keyOf          map[wire.ID]string
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -219,8 +219,8 @@
 			e.log.Emit(event.SeedHasNoConfig, zap.String("seed", addr), event.Err(err))
 			continue
 		}
-		verdict, findings := e.store.Offer("seed "+addr, text)
-		config.LogOfferResult(e.log, verdict, e.store.Generation(), findings)
+		result, findings := e.store.Offer("seed "+addr, text)
+		config.LogOfferResult(e.log, result, e.store.Generation(), findings)
 	}
 }
 
--- a/estimate/engine.go
+++ b/estimate/engine.go
@@ -3,12 +3,12 @@
 import "time"
 
 // SLO holds the service level objectives (SLO) of a route as its operators set
-// them. Estimates derive from them until there are samples: operators who promise
-// a latency have engines that can keep it.
+// them. Estimates derive from them until there are samples: operators who set
+// an objective have engines that can meet it.
 type SLO struct {
 	// Target is the time to the first event.
 	Target time.Duration
-	// MaxGap is the longest time between two events; zero if none is promised.
+	// MaxGap is the longest time between two events; zero if there is no such objective.
 	MaxGap time.Duration
 }
 
@@ -23,12 +23,12 @@
 	// priorGapFraction is the fraction of the longest gap between events that a
 	// gap usually has.
 	priorGapFraction = 0.125
-	// priorMaxGap is the longest gap between events if none is promised.
+	// priorMaxGap is the longest gap between events if the SLO sets none.
 	priorMaxGap = 300 * time.Millisecond
 	// priorAnswerFraction is the fraction of the allowed tokens that an answer has.
 	priorAnswerFraction = 0.5
-	// priorDurationFraction is the fraction of the caller's time limit that an
-	// answer lasts.
+	// priorDurationFraction is the fraction of the caller's timeout that an answer
+	// lasts.
 	priorDurationFraction = 0.25
 )
 
@@ -104,8 +104,8 @@
 	return newTime(mean, mean)
 }
 
-// LocalPrefillTTFT returns the estimated time to the first event at a decode engine that does
-// the prefill itself; tokens and own have the same meaning as for a prefill.
+// LocalPrefillTTFT returns the estimated time to the first event at a decode engine that
+// does the prefill itself; tokens and own have the same meaning as for a prefill.
 func (e *EngineModel) LocalPrefillTTFT(tokens, own int, slo SLO) Duration {
 	if e.localPrefill.Known() {
 		return newTime(e.localPrefill.At(float64(tokens)), e.localPrefill.Spread())
@@ -113,45 +113,45 @@
 	return e.PrefillTime(tokens, own, slo).Scale(max(e.Slowdown, 1)).Add(e.HandoffTime(false, slo))
 }
 
-// RecordLocalPrefillTTFT records the time to the first event at a decode engine that did the
-// prefill itself.
+// RecordLocalPrefillTTFT records the time to the first event at a decode engine that did
+// the prefill itself.
 func (e *EngineModel) RecordLocalPrefillTTFT(tokens int, took time.Duration) {
 	e.localPrefill.Add(float64(tokens), milliseconds(took))
 }
 
-// RecordAbandonedLocalPrefill records an attempt at such an engine that was abandoned before its
-// first event.
+// RecordAbandonedLocalPrefill records an attempt at such an engine that was abandoned
+// before its first event.
 func (e *EngineModel) RecordAbandonedLocalPrefill(tokens int, after time.Duration) {
 	e.localPrefill.AddCensored(float64(tokens), milliseconds(after))
 }
 
 // handoffIndex returns the index of a handoff estimate: 0 within a data centre, 1
 // between two.
-func handoffIndex(far bool) int {
-	if far {
+func handoffIndex(remote bool) int {
+	if remote {
 		return 1
 	}
 	return 0
 }
 
 // RecordHandoff records the time from the end of the prefill to the first event, which
-// includes the transfer of the KV cache; far reports that it came from another
+// includes the transfer of the KV cache; remote reports that it came from another
 // data centre.
-func (e *EngineModel) RecordHandoff(far bool, took time.Duration) {
-	e.handoff[handoffIndex(far)].Add(milliseconds(took))
+func (e *EngineModel) RecordHandoff(remote bool, took time.Duration) {
+	e.handoff[handoffIndex(remote)].Add(milliseconds(took))
 }
 
 // RecordAbandonedHandoff records a handoff that was abandoned before the first event.
-func (e *EngineModel) RecordAbandonedHandoff(far bool, after time.Duration) {
-	e.handoff[handoffIndex(far)].AddCensored(milliseconds(after))
+func (e *EngineModel) RecordAbandonedHandoff(remote bool, after time.Duration) {
+	e.handoff[handoffIndex(remote)].AddCensored(milliseconds(after))
 }
 
 // HandoffTime returns the estimated time from the end of the prefill to the first
-// event. If there are samples only for the other value of far, it uses those.
-func (e *EngineModel) HandoffTime(far bool, slo SLO) Duration {
-	m := &e.handoff[handoffIndex(far)]
+// event. If there are samples only for the other value of remote, it uses those.
+func (e *EngineModel) HandoffTime(remote bool, slo SLO) Duration {
+	m := &e.handoff[handoffIndex(remote)]
 	if !m.Known() {
-		m = &e.handoff[handoffIndex(!far)]
+		m = &e.handoff[handoffIndex(!remote)]
 	}
 	prior := milliseconds(slo.Target) * priorHandoffFraction
 	return newTime(m.Mean(prior), m.Spread(prior))
@@ -227,9 +227,9 @@
 const minDurationSamples = 30
 
 // AnswerDuration returns the expected duration of an answer, from its first to its last
-// event; wait is the caller's time limit.
-func (e *EngineModel) AnswerDuration(wait time.Duration) time.Duration {
-	prior := milliseconds(wait) * priorDurationFraction
+// event; timeout is the caller's timeout.
+func (e *EngineModel) AnswerDuration(timeout time.Duration) time.Duration {
+	prior := milliseconds(timeout) * priorDurationFraction
 	if e.answerDuration.samples < minDurationSamples {
 		return duration(max(e.answerDuration.Mean(prior), prior))
 	}
--- a/estimate/estimate_test.go
+++ b/estimate/estimate_test.go
@@ -10,7 +10,7 @@
 	"ebonypulley/estimate"
 )
 
-var promise = estimate.SLO{Target: 900 * time.Millisecond, MaxGap: 300 * time.Millisecond}
+var slo = estimate.SLO{Target: 900 * time.Millisecond, MaxGap: 300 * time.Millisecond}
 
 // The first prefill replaces the prior, also if the engine has a quarter or four times
 // the assumed speed. Otherwise requests would be placed by a figure that is right only
@@ -18,12 +18,12 @@
 func TestFirstSampleReplacesPrior(t *testing.T) {
 	for _, perToken := range []time.Duration{8 * time.Microsecond, 30 * time.Microsecond, 120 * time.Microsecond, 500 * time.Microsecond} {
 		m := estimate.NewEngineModel()
-		prior := m.PrefillTime(3000, 3000, promise)
+		prior := m.PrefillTime(3000, 3000, slo)
 		assert.Equal(t, 225*time.Millisecond, prior.Mean)
 		assert.Equal(t, prior.Mean, prior.Spread, "the spread of a prior is the prior itself")
 		m.RecordPrefill(3000, 3000*perToken)
-		assert.InEpsilon(t, 3000*perToken, m.PrefillTime(3000, 3000, promise).Mean, 0.01)
-		assert.InEpsilon(t, 6000*perToken, m.PrefillTime(6000, 3000, promise).Mean, 0.01)
+		assert.InEpsilon(t, 3000*perToken, m.PrefillTime(3000, 3000, slo).Mean, 0.01)
+		assert.InEpsilon(t, 6000*perToken, m.PrefillTime(6000, 3000, slo).Mean, 0.01)
 	}
 }
 
@@ -48,27 +48,27 @@
 	for range 50 {
 		m.RecordGap(2, 40*time.Millisecond)
 	}
-	assert.InEpsilon(t, 40*time.Millisecond, m.EventGap(20, promise).Mean, 0.01)
+	assert.InEpsilon(t, 40*time.Millisecond, m.EventGap(20, slo).Mean, 0.01)
 	assert.Zero(t, m.GapPerStream())
 }
 
 // When an engine becomes slower than ever before, attempts are abandoned and sent again,
 // and the engine is busy with work that is lost. Abandoned attempts count as samples, so
-// that each time limit is longer than the one before.
+// that each timeout is longer than the one before.
 func TestAbandonedAttemptsRaiseEstimate(t *testing.T) {
 	m := estimate.NewEngineModel()
 	for range 100 {
 		m.RecordPrefill(3000, 100*time.Millisecond)
 	}
-	last := m.PrefillTime(3000, 3000, promise).UpperBound()
+	last := m.PrefillTime(3000, 3000, slo).UpperBound()
 	for range 5 {
 		m.RecordAbandonedPrefill(3000, 3*last)
-		next := m.PrefillTime(3000, 3000, promise).UpperBound()
+		next := m.PrefillTime(3000, 3000, slo).UpperBound()
 		assert.Greater(t, next, last)
 		last = next
 	}
 	m.RecordAbandonedPrefill(3000, time.Millisecond)
-	assert.Equal(t, last, m.PrefillTime(3000, 3000, promise).UpperBound(), "an attempt abandoned early tells nothing")
+	assert.Equal(t, last, m.PrefillTime(3000, 3000, slo).UpperBound(), "an attempt abandoned early is ignored")
 }
 
 // Most prefills waited behind work that was not reported. The shortest ones show the time
--- a/lease/table.go
+++ b/lease/table.go
@@ -144,7 +144,7 @@
 // Drain refuses all new work from now on and empties the queue.
 //
 // An entry with outdated state may keep sending work to an endpoint that is
-// leaving. The work is refused here, at the owner of the leases, so it does not
+// draining. The work is refused here, at the owner of the leases, so it does not
 // matter what entries know.
 func (t *Table) Drain() []Change {
 	t.draining = true
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -381,7 +381,7 @@
 
 // handleConfig offers the document that the agent sent to the store.
 func (p *Peer) handleConfig(conn *wire.Conn, text []byte) {
-	verdict, findings := p.store.Offer("peer "+p.endpoint.Name, text)
-	p.ask.Received(conn, verdict)
-	config.LogOfferResult(p.log, verdict, p.store.Generation(), findings)
+	result, findings := p.store.Offer("peer "+p.endpoint.Name, text)
+	p.ask.Received(conn, result)
+	config.LogOfferResult(p.log, result, p.store.Generation(), findings)
 }
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -53,7 +53,7 @@
 }
 
 // Send sends a message of this attempt. ErrNotConnected means that it was not
-// sent; a Link event follows when the connection is re-established.
+// sent; an event with a LinkState follows when the connection is re-established.
 func (s *Stream) Send(m wire.Message) error { return s.peer.send(m) }
 
 // Recv waits for the next event. When ctx ends, it returns the cause.
--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -26,19 +26,19 @@
 	// minCoincidenceRan is the lower bound for a crash of an endpoint where the request had
 	// run for a while: a request that crashes endpoints at its start does not get so far.
 	minCoincidenceRan = 0.3
-	// manyCrashes is the number of crashes from which on maxCoincidenceMany applies instead
-	// of maxCoincidence, if the request had not run for a while before any of them. A poison
-	// request may wait at a busy endpoint before it starts, which makes each crash look more
-	// like coincidence; it must be blocked nevertheless.
+	// manyCrashes is the number of crashes from which on maxCoincidenceMany applies
+	// instead of maxCoincidence, if the request had not run for a while before any of
+	// them. A poison request may wait at a busy endpoint before it starts, which makes
+	// each crash look more like coincidence; it must be blocked nevertheless.
 	manyCrashes        = 5
 	maxCoincidenceMany = 1e-3
 	// maxCrashes is the number of crashes that suffice whatever else crashes: an innocent
 	// request has no attempts left by then.
 	maxCrashes = 8
-	// rateWindow is the time window over which the crash rate of endpoints is measured.
+	// rateWindow is the time window over which the crash rate of endpoints is observed.
 	rateWindow = 10 * time.Second
-	// evidenceTTL is how long crashes and complete answers count. A caller may send a poison
-	// request for hours, and the service may have been fixed by then.
+	// evidenceTTL is how long crashes and complete answers count. A caller may send a
+	// poison request for hours, and the service may have been fixed by then.
 	evidenceTTL = time.Hour
 	// maxContents and maxEndpoints bound the memory, at some 100 bytes an entry.
 	maxContents  = 2048
@@ -49,8 +49,8 @@
 // endpoints. Requests are identified by a hash of their content. It is safe for concurrent
 // use.
 type Detector struct {
-	// OnBlocked, if set, is called for each content that becomes blocked, with the number of its
-	// crashes.
+	// OnBlocked, if set, is called for each content that becomes blocked, with the number
+	// of its crashes.
 	OnBlocked func(content uint64, crashes int)
 
 	mu        sync.Mutex
@@ -85,8 +85,8 @@
 	Lasted time.Duration
 	// Ran reports that the attempt had produced events for a while.
 	Ran bool
-	// Rate is the crash rate of an endpoint at that time, in crashes per second, as measured
-	// by the entry that saw the crash; zero if unknown.
+	// Rate is the crash rate of an endpoint at that time, in crashes per second, as
+	// observed by the entry that saw the crash; zero if unknown.
 	Rate float64
 }
 
@@ -183,7 +183,7 @@
 	return b
 }
 
-// countCrash adds a crash to those that the crash rate is measured from; l.mu must be
+// countCrash adds a crash to those that the crash rate is computed from; l.mu must be
 // held.
 func (l *Detector) countCrash(now time.Time, c crash) {
 	for id, at := range l.recentCrashes {
--- a/poison/ledger_test.go
+++ b/poison/ledger_test.go
@@ -136,7 +136,7 @@
 	assert.Empty(t, more, "each update is sent once")
 }
 
-// Entries must not relay updates to each other for ever, which would keep a request
+// Entries must not relay updates to each other endlessly, which would keep a request
 // blocked and fill the links.
 func TestRelayedUpdatesExpire(t *testing.T) {
 	a, b := newLedger(), newLedger()
--- a/router/answer.go
+++ b/router/answer.go
@@ -24,8 +24,8 @@
 	ErrLost = routerErrors.NewType("lost")
 	// ErrBroken is an ErrLost whose connection ended before the answer was complete.
 	ErrBroken = ErrLost.NewSubtype("broken")
-	// ErrQueueTimeout is an ErrNotRun of a request that queued at an endpoint for the maximum
-	// time. Trying another endpoint cannot help.
+	// ErrQueueTimeout is an ErrNotRun of a request that queued at an endpoint for the
+	// maximum time. Trying another endpoint cannot help.
 	ErrQueueTimeout = ErrNotRun.NewSubtype("waited")
 	// ErrExpired is an ErrLost from an endpoint that dropped the work because it received
 	// no heartbeat from this process. It does not indicate an outage of the endpoint.
@@ -170,8 +170,8 @@
 	Close()
 }
 
-// EndpointClient is the client side of the endpoints. Its methods return ErrNotRun, ErrLost or
-// the context's error.
+// EndpointClient is the client side of the endpoints. Its methods return ErrNotRun,
+// ErrLost or the context's error.
 type EndpointClient interface {
 	// Call executes a plain call.
 	Call(ctx context.Context, e *Endpoint, c *Call) (*Answer, error)
@@ -186,8 +186,8 @@
 	// Cached returns the sessions whose prompts an engine has in its cache; see
 	// Call.Session.
 	Cached(ctx context.Context, e *Endpoint) (map[string]bool, error)
-	// Probe probes an endpoint. It returns nil if the endpoint is healthy, and ErrNotListening
-	// or ErrReplaced if it no longer runs.
+	// Probe probes an endpoint. It returns nil if the endpoint is healthy, and
+	// ErrNotListening or ErrReplaced if it no longer runs.
 	Probe(ctx context.Context, e *Endpoint) error
 	// Order tells an engine to switch its stage. The fence is a fencing number.
 	Order(ctx context.Context, e *Endpoint, to Role, fence uint64) error
--- a/router/budget_test.go
+++ b/router/budget_test.go
@@ -162,9 +162,9 @@
 	})
 }
 
-// TestSlackOfIsolatedEntry guards against entries that are cut off from each other since
-// their start and take a share of the slack for a guessed number of entries. One that has
-// never heard of another, although others exist, must take none.
+// TestSlackOfIsolatedEntry guards against entries that are partitioned from each other
+// since their start and take a share of the slack for a guessed number of entries. One
+// that has never heard of another, although others exist, must take none.
 func TestSlackOfIsolatedEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slack = 24
--- a/router/gated.go
+++ b/router/gated.go
@@ -28,12 +28,12 @@
 	// freeExpiries is how many times an attempt that ended with ErrExpired is repeated
 	// without charging the retry budget.
 	//
-	// After this process was paused or cut off from the network, all its generations lose
-	// their memory at once. The budget is far smaller than their number, and the endpoints
-	// are healthy.
+	// After this process was paused or partitioned, all its generations lose their memory
+	// at once. The budget is far smaller than their number, and the endpoints are
+	// healthy.
 	freeExpiries = 2
 	// keyOwnerTimeout is how long a call waits for the owner of its idempotency key: the
-	// time that a replaced process takes to come back.
+	// time until a replaced process is ready.
 	keyOwnerTimeout      = 5 * time.Second
 	keyOwnerPollInterval = 100 * time.Millisecond
 )
--- a/router/gated_test.go
+++ b/router/gated_test.go
@@ -128,7 +128,7 @@
 
 // TestCallWaitsForKeyOwner: while the owner of an idempotency key is being replaced, the
 // call must wait for it and run once. It must never run elsewhere, and must be refused if
-// the owner does not come back.
+// the owner is not replaced in time.
 func TestCallWaitsForKeyOwner(t *testing.T) {
 	for _, away := range []time.Duration{2 * time.Second, time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
--- a/router/generate.go
+++ b/router/generate.go
@@ -294,7 +294,7 @@
 		g.recordWasted(start.Result)
 	}
 	if start.Result != nil && ctx.Err() != nil {
-		// The caller left. If the result was taken already, Drop has no effect.
+		// The caller disconnected. If the result was taken already, Drop has no effect.
 		g.r.endpoints.Drop(start.Result)
 		g.kept = nil
 	}
--- a/router/generate_test.go
+++ b/router/generate_test.go
@@ -67,7 +67,7 @@
 }
 
 // TestSilentEngine: when an engine stops sending in the middle of an answer without a
-// reset, another attempt must follow before the caller leaves.
+// reset, another attempt must follow before the caller disconnects.
 func TestSilentEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{pause: time.Hour, events: 6}
--- a/router/health.go
+++ b/router/health.go
@@ -11,7 +11,7 @@
 	// gapWeight is the weight of one gap between stream events in the moving average of
 	// StepSlowdown. It is low because each stream has some tens of them.
 	gapWeight = 0.05
-	// sampleWeight is the weight of a new measurement in other moving averages.
+	// sampleWeight is the weight of a new sample in other moving averages.
 	sampleWeight = 0.25
 	// failureWeight is the weight of one attempt in the failure rate: four failures in a
 	// row give 0.68.
@@ -85,10 +85,10 @@
 	h.recordSuccess(now)
 }
 
-// updateSlowdown compares a measured duration with the expected one.
-func (h *health) updateSlowdown(took, usual float64) {
-	if usual > 0 && took > 0 {
-		h.slowdown += (took/usual - h.slowdown) * sampleWeight
+// updateSlowdown compares an observed duration with the expected one.
+func (h *health) updateSlowdown(took, expected float64) {
+	if expected > 0 && took > 0 {
+		h.slowdown += (took/expected - h.slowdown) * sampleWeight
 	}
 }
 
@@ -144,8 +144,8 @@
 	h.peerAvoidUntil = time.Time{}
 }
 
-// AvoidedEndpoint is a report about an endpoint that a process found unresponsive or gone, or
-// about one failed attempt there.
+// AvoidedEndpoint is a report about an endpoint that a process found unresponsive or
+// gone, or about one failed attempt there.
 type AvoidedEndpoint struct {
 	Endpoint string
 	// Age is the age of the observation. Left is how much longer the endpoint is avoided
@@ -178,11 +178,11 @@
 // MergeAvoided merges the reports of another process. It ignores reports of an
 // unresponsive endpoint that are older than the last success here.
 //
-// It covers two failures: a third of the engines crash in the same second and stay
-// published for seconds, or a tenth of them fail each attempt while they answer health
-// probes. Without reports each entry would discover each of these engines by itself, at
-// the cost of a late generation. With hundreds of entries, each meets a given engine only
-// twice a minute and its own record has decayed by then.
+// It covers two failures: a third of the engines crash or become unreachable in the same
+// second and stay published for seconds, or a tenth of them fail each attempt while they
+// answer health probes. Without reports each entry would discover each of these engines
+// by itself, at the cost of a late generation. With hundreds of entries, each meets a
+// given engine only twice a minute and its own record has decayed by then.
 func (l *LoadTracker) MergeAvoided(now time.Time, process string, list []AvoidedEndpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/router/learn.go
+++ b/router/learn.go
@@ -59,8 +59,8 @@
 	m := l.engineModel(s)
 	m.RecordGap(streams, gap)
 	h := l.healthOf(now, e.ID)
-	if usual := m.EventGap(streams, estimate.SLO{}).Mean; usual > 0 {
-		h.stepSlowdown += (float64(gap)/float64(usual) - h.stepSlowdown) * gapWeight
+	if expected := m.EventGap(streams, estimate.SLO{}).Mean; expected > 0 {
+		h.stepSlowdown += (float64(gap)/float64(expected) - h.stepSlowdown) * gapWeight
 	}
 }
 
--- a/router/load.go
+++ b/router/load.go
@@ -29,8 +29,8 @@
 
 func (l Load) isZero() bool { return l == Load{} }
 
-// LoadTracker tracks the load and health of all endpoints: the work of this process exactly,
-// that of the other entries as of their last reports.
+// LoadTracker tracks the load and health of all endpoints: the work of this process
+// exactly, that of the other entries as of their last reports.
 type LoadTracker struct {
 	mu     sync.Mutex
 	own    map[string]Load
--- a/router/model.go
+++ b/router/model.go
@@ -48,13 +48,14 @@
 	Resumable bool
 	// Timeout is the maximum time to serve a request.
 	Timeout time.Duration
-	// LatencyTarget is the latency objective: time to the answer, or to the first event of a
-	// stream.
+	// LatencyTarget is the latency objective: time to the answer, or to the first event
+	// of a stream.
 	LatencyTarget time.Duration
-	// MaxGap is the objective for the longest gap between two events of a stream, or zero for
-	// none.
+	// MaxGap is the objective for the longest gap between two events of a stream, or zero
+	// for none.
 	MaxGap time.Duration
-	// SilenceTimeout is the silence after which callers abandon a stream, or zero if unknown.
+	// SilenceTimeout is the silence after which callers disconnect from a stream, or zero
+	// if unknown.
 	SilenceTimeout time.Duration
 	// KeyExempt routes need no workspace key.
 	KeyExempt bool
@@ -135,8 +136,8 @@
 	Stride int
 	// ResultTTL is how long a prefill result is kept.
 	ResultTTL time.Duration
-	// LocalPrefillSlowdown is the ratio of a decode engine's prefill time to that of a prefill
-	// engine, or zero if unknown.
+	// LocalPrefillSlowdown is the ratio of a decode engine's prefill time to that of a
+	// prefill engine, or zero if unknown.
 	LocalPrefillSlowdown float64
 	// StageSwitchTime is how long an engine takes to switch between the prefill and decode
 	// stages.
@@ -186,21 +187,22 @@
 	Timeout time.Duration
 	// Message is the request itself, opaque to this package.
 	Message any
-	// ContentHash is a hash of the request's content, equal when a caller repeats the request;
-	// zero if unknown.
+	// ContentHash is a hash of the request's content, equal when a caller repeats the
+	// request; zero if unknown.
 	ContentHash uint64
-	// PromptTokens is the number of prompt tokens and Output the maximum number of generated
-	// tokens. Both are zero for plain calls.
+	// PromptTokens is the number of prompt tokens, MaxOutputTokens the maximum number of
+	// generated tokens. Both are zero for plain calls.
 	PromptTokens, MaxOutputTokens int
-	// LengthHint is the caller's estimate of the number of generated tokens, or zero for none.
+	// LengthHint is the caller's estimate of the number of generated tokens, or zero for
+	// none.
 	LengthHint int
 	// Session identifies the part of the prompt that is specific to this caller. Requests
 	// with the same prompt have the same session.
 	Session string
 	// ResumeAfter is the number of the last event that the caller received, or NoEvent.
 	ResumeAfter int64
-	// MetricsClass names the latency histograms that the call counts in; if empty, the service's
-	// name does.
+	// MetricsClass names the latency histograms that the call counts in; if empty, the
+	// service's name does.
 	MetricsClass string
 	// MaxQueueTime is how long the call may queue at an agent before its answer begins.
 	MaxQueueTime time.Duration
@@ -233,8 +235,8 @@
 	return zap.String("content", strconv.FormatUint(c.ContentHash, 16))
 }
 
-// QueueTimeLeft returns how long the call may queue at an agent: the rest of MaxQueueTime before
-// the answer has begun, and until the deadline afterwards.
+// QueueTimeLeft returns how long the call may queue at an agent: the rest of MaxQueueTime
+// before the answer has begun, and until the deadline afterwards.
 func (c *Call) QueueTimeLeft(now time.Time, begun bool) time.Duration {
 	left := c.TimeLeft(now)
 	if !begun {
--- a/router/notice.go
+++ b/router/notice.go
@@ -80,7 +80,7 @@
 	}
 	for _, list := range d.endpoints {
 		for _, e := range list {
-			if _, leaves := r.draining[e.ID]; leaves {
+			if _, draining := r.draining[e.ID]; draining {
 				r.draining[e.ID] = now
 			}
 		}
--- a/router/place.go
+++ b/router/place.go
@@ -17,7 +17,7 @@
 	// lateStreamFraction is the cost of each stream whose gap between events exceeds its
 	// objective. The stream counts as late as a whole.
 	lateStreamFraction = 0.33
-	// failureFraction is the cost of a certain failure: the prompt is computed once more,
+	// failureFraction is the cost of a certain failure: the prompt is prefilled once more,
 	// and the first event is probably late.
 	failureFraction = 0.67
 	// interferenceFraction is the fraction of a local prefill's duration that each stream
@@ -192,10 +192,10 @@
 // transfer estimates the time from a finished prefill at one engine to the first event at
 // another, and the cost of that transfer.
 func (pl *placer) transfer(from *Endpoint, to *candidate) (estimate.Duration, time.Duration) {
-	far := from.DataCentre != to.e.DataCentre
-	handoff := pl.model.HandoffTime(far, pl.slo)
+	remote := from.DataCentre != to.e.DataCentre
+	handoff := pl.model.HandoffTime(remote, pl.slo)
 	cost := handoff.Mean
-	if far {
+	if remote {
 		cost += pl.targetFraction(remoteDCFraction)
 	}
 	return handoff, cost
--- a/router/place_test.go
+++ b/router/place_test.go
@@ -26,8 +26,8 @@
 
 // trainEstimates makes a router observe engines that prefill 50 tokens per millisecond,
 // or 25 between the steps of running streams, in chunks of 512, and generate an event in
-// 39 ms. Engine "d" takes pace times as long per event.
-func trainEstimates(r *router.Router, pace float64) {
+// 39 ms. Engine "d" takes slowdown times as long per event.
+func trainEstimates(r *router.Router, slowdown float64) {
 	now := time.Now()
 	for range 40 {
 		for _, tokens := range []int{3000, 9000} {
@@ -40,7 +40,7 @@
 		for range 25 { // most engines have the usual speed
 			r.Loads().RecordGap(now, engine("usual", router.Decode), llm, 2, usual)
 		}
-		r.Loads().RecordGap(now, engine("d", router.Decode), llm, 2, time.Duration(float64(usual)*pace))
+		r.Loads().RecordGap(now, engine("d", router.Decode), llm, 2, time.Duration(float64(usual)*slowdown))
 	}
 	for range 20 {
 		r.Loads().Learn(llm, func(m *estimate.EngineModel) { m.RecordGapWithPrefill(2, usual+225*time.Millisecond) })
@@ -52,10 +52,10 @@
 // engine may do that only while it runs no streams.
 func TestLocalPrefillSparesStreams(t *testing.T) {
 	for _, tt := range []struct {
-		name    string
-		pace    float64
-		streams int
-		alone   bool
+		name     string
+		slowdown float64
+		streams  int
+		alone    bool
 	}{
 		{"an engine of usual speed", 1, 2, true},
 		{"a slow engine with streams", 1.3, 2, false},
@@ -66,7 +66,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := &fakeEndpoints{}
 				r := newRouter(f, engine("p", router.Prefill), engine("d", router.Decode))
-				trainEstimates(r, tt.pace)
+				trainEstimates(r, tt.slowdown)
 				defer r.Loads().Begin("p", router.Load{PrefillTokens: 20000}).End()
 				defer r.Loads().Begin("d", router.Load{Decodes: tt.streams}).End()
 				route := resumableRoute
@@ -123,9 +123,9 @@
 	a.RecordUnresponsive(now, "e")
 	later := now.Add(100 * time.Millisecond)
 	c.RecordSuccess(later, "e")
-	for _, heard := range a.Avoided(later) {
-		b.MergeAvoided(later, "a", []router.AvoidedEndpoint{heard})
-		c.MergeAvoided(later, "a", []router.AvoidedEndpoint{heard})
+	for _, report := range a.Avoided(later) {
+		b.MergeAvoided(later, "a", []router.AvoidedEndpoint{report})
+		c.MergeAvoided(later, "a", []router.AvoidedEndpoint{report})
 	}
 	assert.True(t, b.View(later, "e").Avoided)
 	assert.False(t, c.View(later, "e").Avoided, "it has answered since the report")
--- a/router/plain.go
+++ b/router/plain.go
@@ -180,8 +180,8 @@
 	if most := p.c.Route.MaxAttempts; p.c.Route.Kind != Idempotent || most > 0 && p.sent >= most {
 		return p.c.Deadline
 	}
-	usual := p.r.loads.CallTime(p.c.Service.Name, p.c.Route.LatencyTarget)
-	first := max(time.Duration(float64(p.c.TimeLeft(now))*firstAttemptFraction), usual.UpperBound()+networkAllowance)
+	expected := p.r.loads.CallTime(p.c.Service.Name, p.c.Route.LatencyTarget)
+	first := max(time.Duration(float64(p.c.TimeLeft(now))*firstAttemptFraction), expected.UpperBound()+networkAllowance)
 	return earlier(now.Add(first), p.c.Deadline)
 }
 
@@ -201,7 +201,7 @@
 	case err == nil:
 		r.loads.RecordFailure(now, e.ID)
 	case errors.Is(ctx.Err(), context.Canceled):
-		// The caller left, which says nothing about the endpoint.
+		// The caller disconnected, which says nothing about the endpoint.
 	case unanswered(err) || errors.Is(ctx.Err(), context.DeadlineExceeded):
 		r.avoid(now, e, err)
 	default:
@@ -263,12 +263,12 @@
 func (r *Router) pickPlain(now time.Time, c *Call, tried map[string]bool, limited limitedUntil) *Endpoint {
 	var best *Endpoint
 	var bestCost float64
-	usual := float64(r.loads.CallTime(c.Service.Name, c.Route.LatencyTarget).Mean)
+	expected := float64(r.loads.CallTime(c.Service.Name, c.Route.LatencyTarget).Mean)
 	for _, e := range r.Directory().Endpoints(c.Service.Name, Plain) {
 		if tried[e.ID] || now.Before(limited[e.ID]) || r.loads.backoffLeft(now, e.ID) > 0 {
 			continue
 		}
-		cost := r.plainCost(now, e, usual)
+		cost := r.plainCost(now, e, expected)
 		if best == nil || cost < bestCost {
 			best, bestCost = e, cost
 		}
@@ -276,13 +276,13 @@
 	return best
 }
 
-// plainCost returns the expected duration of a call at an endpoint; usual is the expected
+// plainCost returns the expected duration of a call at an endpoint, given the expected
 // duration for the service.
-func (r *Router) plainCost(now time.Time, e *Endpoint, usual float64) float64 {
+func (r *Router) plainCost(now time.Time, e *Endpoint, expected float64) float64 {
 	v := r.loads.View(now, e.ID)
 	slots := max(e.Slots, 1)
 	fill := float64(v.Calls+1) / float64(slots)
-	cost := usual*v.Slowdown*max(1, fill) + fill*float64(remoteDCCost) + v.FailureRate*failureCostCalls*usual
+	cost := expected*v.Slowdown*max(1, fill) + fill*float64(remoteDCCost) + v.FailureRate*failureCostCalls*expected
 	if e.DataCentre != r.set.DataCentre {
 		cost += float64(remoteDCCost)
 	}
--- a/router/poison.go
+++ b/router/poison.go
@@ -80,8 +80,8 @@
 }
 
 // crashed reports whether an endpoint no longer runs. That is final, because a
-// replacement is another endpoint. An unreachable endpoint may be cut off from the
-// network, and counts as running.
+// replacement is another endpoint. An unreachable endpoint may be partitioned,
+// and counts as running.
 func (r *Router) crashed(e *Endpoint) bool {
 	r.mu.Lock()
 	q := r.crashChecks[e.ID]
--- a/router/prefill.go
+++ b/router/prefill.go
@@ -61,7 +61,7 @@
 	case v != undecided:
 		g.r.loads.RecordUnresponsive(now, e.ID)
 	case ctx.Err() != nil:
-		// The caller left, which says nothing about the endpoint.
+		// The caller disconnected, which says nothing about the endpoint.
 	case unanswered(err):
 		g.r.avoid(now, e, err)
 	default:
--- a/router/router.go
+++ b/router/router.go
@@ -32,8 +32,8 @@
 	// Restarted says that this process may have run before. An earlier incarnation may
 	// then have used its share of the slack only moments ago.
 	Restarted bool
-	// SingleEntry says that no other entry shares the retry budget, until SetFleetSize reports
-	// others.
+	// SingleEntry says that no other entry shares the retry budget, until SetFleetSize
+	// reports others.
 	SingleEntry bool
 	// Chooser is set for fleets with an agent in front of each endpoint; see Chooser.
 	Chooser Chooser
--- a/router/run.go
+++ b/router/run.go
@@ -90,8 +90,8 @@
 	})
 }
 
-// learnTimeout updates the estimates with the time waited in vain, if the endpoint hung
-// before its first event.
+// learnTimeout updates the estimates with the time waited, if the endpoint hung before its
+// first event.
 func (u *decodeAttempt) learnTimeout() {
 	if u.begun || u.watchdog.verdict() != hanging {
 		return
@@ -106,7 +106,7 @@
 }
 
 // learn updates the estimates of the service's engines. A cached prompt says nothing
-// about the usual times.
+// about the expected times.
 func (u *decodeAttempt) learn(change func(m *estimate.EngineModel, took time.Duration)) {
 	if u.warm || u.g.r.usesAgents() {
 		return
--- a/router/stages.go
+++ b/router/stages.go
@@ -81,7 +81,7 @@
 		return
 	}
 	if b.peak.observe(now, len(prefills)+len(decodes)) > len(prefills)+len(decodes) {
-		return // some engines are away temporarily
+		return // some engines are temporarily missing
 	}
 	n, load := r.stageMoves(now, s, len(prefills), len(decodes))
 	if n == 0 {
--- a/router/stream.go
+++ b/router/stream.go
@@ -63,7 +63,7 @@
 
 // eventLimits returns the silence limits for the next event of a stream that may continue
 // elsewhere. A live engine is abandoned only when there is just enough time for another
-// one to send an event before the caller leaves.
+// one to send an event before the caller disconnects.
 func (g *generationRun) eventLimits(at *Endpoint) silenceLimits {
 	m := g.r.loads.Engines(g.c.Service)
 	v := g.r.loads.View(time.Now(), at.ID)
@@ -83,7 +83,7 @@
 	return since.Add(g.silenceTimeout()).Sub(now)
 }
 
-// silenceTimeout returns the silence after which the caller leaves.
+// silenceTimeout returns the silence after which the caller disconnects.
 func (g *generationRun) silenceTimeout() time.Duration {
 	if p := g.c.Route.SilenceTimeout; p > 0 {
 		return p
@@ -91,8 +91,8 @@
 	return silenceTimeoutTargets * g.c.Route.LatencyTarget
 }
 
-// silenceTimeoutTargets is the silence after which callers leave, in latency targets, if
-// the route does not say.
+// silenceTimeoutTargets is the silence after which callers disconnect, in latency
+// targets, if the route does not say.
 const silenceTimeoutTargets = 4
 
 // exchange starts the generation and delivers its events. If the endpoint prefills the
--- a/router/watch.go
+++ b/router/watch.go
@@ -58,8 +58,8 @@
 }
 
 // stepLimits returns the silence limits of a step with an estimated duration, given the
-// time until the caller leaves. A live endpoint is abandoned while there is time to try
-// another one, or if there is none, when the caller has left.
+// time until the caller disconnects. A live endpoint is abandoned while there is time to
+// try another one, or if there is none, when the caller has disconnected.
 func stepLimits(t estimate.Duration, left time.Duration) silenceLimits {
 	high := t.UpperBound() + networkAllowance
 	if 2*high > left {
@@ -80,7 +80,7 @@
 	timer        *time.Timer
 	lastActivity time.Time
 	silenceLimits
-	// epoch counts the signs of life, so that the result of a probe sent before the last
+	// epoch counts the calls of reset, so that the result of a probe sent before the last
 	// one is ignored.
 	epoch   int
 	stopped bool
@@ -98,7 +98,7 @@
 	return w
 }
 
-// reset records a sign of life. The limits apply to the next one.
+// reset records activity of the endpoint. The limits apply until the next one.
 func (w *watchdog) reset(l silenceLimits) {
 	if w == nil {
 		return
@@ -176,7 +176,7 @@
 	w.timer.Reset(next)
 }
 
-// conclude ends the attempt, unless there was a sign of life meanwhile.
+// conclude ends the attempt, unless there was activity meanwhile.
 func (w *watchdog) conclude(epoch int, v verdict) {
 	w.mu.Lock()
 	if w.stopped || w.epoch != epoch {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -329,8 +329,8 @@
 }
 
 // TestResetBeforeSendIsConnectError: an endpoint at its connection limit resets each new
-// connection. The error must say that no part of the request was sent; otherwise the request
-// counts as possibly run and is not sent to another endpoint.
+// connection. The error must say that no part of the request was sent; otherwise the
+// request counts as possibly run and is not sent to another endpoint.
 func TestResetBeforeSendIsConnectError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var dialled, read int
--- a/wire/grow.go
+++ b/wire/grow.go
@@ -99,8 +99,8 @@
 	return decodeArray(d, reflect.ValueOf(m).Elem())
 }
 
-// decodeArray decodes an array into the fields of v in their order and skips elements beyond
-// the last field.
+// decodeArray decodes an array into the fields of v in their order and skips elements
+// beyond the last field.
 func decodeArray(d *msgpack.Decoder, v reflect.Value) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
--- a/wire/grow_test.go
+++ b/wire/grow_test.go
@@ -44,8 +44,8 @@
 	Added []string
 }
 
-// fields returns the field values in order: those of the first version, those of the current
-// version, which are not set, and the added one.
+// fields returns the field values in order: those of the first version, those of the
+// current version, which are not set, and the added one.
 func (r longerReport) fields() any {
 	f := r.V1
 	list := []any{f.From, f.DataCentre, f.Incarnation, f.Members, f.Work, f.Avoided, f.Demand, f.Revision, f.Behind, f.Link, f.NoStore}
--- a/wire/message.go
+++ b/wire/message.go
@@ -377,7 +377,7 @@
 	State State
 	// Reason is always empty: no sender sets it.
 	Reason Reason
-	// Status, Headers and Body are the answer of a call that is Done.
+	// Status, Headers and Body are the answer of a call in StateDone.
 	Status  int
 	Headers []Header
 	Body    []byte
--- a/wire/report.go
+++ b/wire/report.go
@@ -10,7 +10,8 @@
 // EndpointWork is an entry's own load on one endpoint.
 type EndpointWork struct {
 	Endpoint string
-	// Calls, Prefill, Decodes and KV are as the fields of router.Load.
+	// Calls, Prefill, Decodes and KV are Calls, PrefillTokens, Decodes and KVTokens of
+	// router.Load.
 	Calls, Prefill, Decodes, KV int
 }
 
@@ -54,11 +55,12 @@
 	// since then; zero if unknown.
 	Most    int
 	MostAge time.Duration
-	// CrashRates holds, for each of Crashes, the rate of endpoint crashes at that time, in
-	// crashes a second. It is a separate list because Crash can't get new fields: a receiver
-	// refuses a nested struct with another number of fields.
+	// CrashRates holds, for each of Crashes, the rate of endpoint crashes at that time,
+	// in crashes a second. It is a separate list because Crash can't get new fields: a
+	// receiver refuses a nested struct with another number of fields.
 	CrashRates []float64
-	// Use is the sender's own use of workspaces that have a limit, as far as it is reported.
+	// Use is the sender's own use of workspaces that have a limit, as far as it is
+	// reported.
 	Use []WorkspaceUse
 	// Limits are limits that endpoints advertised to the sender itself.
 	Limits []EndpointLimit
@@ -131,8 +133,8 @@
 	NoStore bool
 	// Revision is the revision of the sender's catalog, without its era.
 	Revision uint64
-	// Era is the era of Revision, UpTo and the revisions of Entries; zero for the first era,
-	// or if unknown.
+	// Era is the era of Revision, UpTo and the revisions of Entries; zero for the first
+	// era, or if unknown.
 	Era uint64
 	// Centres and Links are as in Report.
 	Centres []string
@@ -168,8 +170,8 @@
 	Ran bool
 }
 
-// PartsRequest asks for parts of large values. The receiver answers with Parts, even if it has
-// few or none of them any more.
+// PartsRequest asks for parts of large values. The receiver answers with Parts, even if
+// it has few or none of them any more.
 type PartsRequest struct {
 	// Digests identify the parts.
 	Digests []uint64
