--- a/agent/health.go
+++ b/agent/health.go
@@ -146,8 +146,8 @@
 // readyForOrder marks the endpoint as down, so that it gets no new work, and
 // reports whether the work in progress has completed.
 //
-// Without this, a new model that an operator declares while drafts are being
-// written would abort all of them at once.
+// Without this, a new model that an operator declares while answers are being
+// generated would abort all of them at once.
 func (a *Agent) readyForOrder() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/prefill.go
+++ b/agent/prefill.go
@@ -130,9 +130,9 @@
 // runPrefill runs the prefill, and retries it on a new connection if it takes
 // much longer than prefills at this engine usually do.
 //
-// The connection to the engine can go silent, which would make a draft wait for
-// its first token until its deadline. The time per token is learned from
-// completed prefills, and the engine's prefix cache makes the retry cheap.
+// The connection to the engine can go silent, which would make a generation
+// wait for its first token until its deadline. The time per token is learned
+// from completed prefills, and the engine's prefix cache makes the retry cheap.
 func (w *prefillWorker) runPrefill(job *prefillJob) (engine.Completion, error) {
 	var out engine.Completion
 	var err error
--- a/attempt/client.go
+++ b/attempt/client.go
@@ -97,8 +97,9 @@
 	return c.end(Result{Disposition: NotRun})
 }
 
-// DeadlinePassed reports that the deadline has passed. For a started call the agent is
-// asked for the final state, which the caller must not wait for indefinitely.
+// DeadlinePassed reports that the deadline has passed. For a started call the
+// agent is asked for the final state; the caller must call Abandon if that does
+// not arrive soon.
 func (c *Client) DeadlinePassed() Step {
 	if c.phase == starting {
 		c.phase = withdrawing
--- a/attempt/server.go
+++ b/attempt/server.go
@@ -188,8 +188,8 @@
 	s.effects.Release(id)
 }
 
-// Cancel reports that the caller is gone. A call that has not started never
-// will. A running idempotent call is aborted; a running non-idempotent call
+// Cancel reports that the caller has disconnected. A call that has not started
+// never will. A running idempotent call is aborted; a running non-idempotent call
 // continues to its end, because a partly executed call, such as half a booking,
 // is of no use to anyone.
 func (s *Server) Cancel(now time.Time, holder wire.Incarnation, id wire.ID) {
--- a/engine/api.go
+++ b/engine/api.go
@@ -120,7 +120,7 @@
 	Seq uint64 `json:"seq"`
 	// Stored is set if the block was added.
 	Stored bool `json:"stored"`
-	// Block is the hash of the block, as returned by Blocks.
+	// Block is the hash of the block, as returned by BlockHashes.
 	Block uint64 `json:"block"`
 }
 
@@ -138,7 +138,7 @@
 	// BlockTokens is the block size of the prefix cache in tokens.
 	BlockTokens = 64
 	// KVBytesPerToken is the size of one token's KV cache in bytes. It matches a
-	// load of 14,000 requests a second that transfers 3,700 GB/s in total, which
+	// load of 14,000 requests per second that transfers 3,700 GB/s in total, which
 	// is 264 MB a request.
 	KVBytesPerToken = 128 << 10
 )
--- a/peer/fetch.go
+++ b/peer/fetch.go
@@ -9,7 +9,7 @@
 	"ebonypulley/wire"
 )
 
-// ErrNoConfig is returned by Fetch if the agent sent no configuration document.
+// ErrNoConfig is returned by FetchConfig if the agent sent no configuration document.
 var ErrNoConfig = peerErrors.NewType("no_config")
 
 // FetchConfig returns the current configuration document of an agent. An entry that
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -22,7 +22,7 @@
 	// IdleTimeout is the time without a received byte after which a connection
 	// is replaced.
 	IdleTimeout = 1500 * time.Millisecond
-	// DialTimeout bounds a connection attempt, and Fetch as a whole.
+	// DialTimeout bounds a connection attempt, and FetchConfig as a whole.
 	DialTimeout = time.Second
 	// minBackoff and maxBackoff bound the delay between connection attempts.
 	minBackoff = 50 * time.Millisecond
@@ -201,8 +201,8 @@
 // sendHeartbeats sends pings, repeats unacknowledged Cancels, and closes the
 // connection when nothing has been received for IdleTimeout.
 //
-// A middlebox that drops its state of a connection leaves it open and silent for
-// good, and answers would stop midway. A healthy agent answers every ping on the
+// A middlebox that drops its state of a connection leaves it open and permanently
+// silent, and answers would stop midway. A healthy agent answers every ping on the
 // same connection, so that silence means that the connection is dead. Attempts
 // resume on the next connection, and the endpoint does not count as failed.
 func (p *Peer) sendHeartbeats(ctx context.Context, conn *wire.Conn) {
--- a/router/delivery_test.go
+++ b/router/delivery_test.go
@@ -45,7 +45,7 @@
 }
 
 // TestSlowReaderDisconnects: after a slow caller disconnects in the middle of an answer,
-// the engine must not continue for nobody, nor the answer count as complete.
+// the engine must stop, and the answer must not count as complete.
 func TestSlowReaderDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{events: 60, pause: 50 * time.Millisecond}
--- a/router/others_test.go
+++ b/router/others_test.go
@@ -171,7 +171,7 @@
 		l.RecordFailure(now.Add(time.Duration(i)*time.Millisecond), "engine-"+strconv.Itoa(i))
 		l.RecordUnresponsive(now.Add(time.Duration(i)*time.Millisecond), "other-"+strconv.Itoa(i))
 	}
-	told := l.Avoided(now.Add(500 * time.Millisecond))
-	assert.Len(t, told, 32)
-	assert.Equal(t, "engine-499", told[0].Endpoint, "the newest")
+	reported := l.Avoided(now.Add(500 * time.Millisecond))
+	assert.Len(t, reported, 32)
+	assert.Equal(t, "engine-499", reported[0].Endpoint, "the newest")
 }
--- a/router/poison.go
+++ b/router/poison.go
@@ -14,7 +14,7 @@
 
 const (
 	// poisonRetryDelay is the retry delay for a request that is blocked because it crashes
-	// endpoints. It leaves time for somebody to look at it.
+	// endpoints. It leaves an operator time to look at it.
 	poisonRetryDelay = time.Minute
 	// crashProbes is the maximum number of probes to find out whether an endpoint has
 	// crashed, with crashProbeInterval between them. A single probe may be inconclusive,
--- a/router/stages_test.go
+++ b/router/stages_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestCrashKeepsStages: engines that are missing for a while must still count. Otherwise
-// the prefill stage stays too small for good after some engines crash.
+// the prefill stage stays too small permanently after some engines crash.
 func TestCrashKeepsStages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{}
--- a/router/stream.go
+++ b/router/stream.go
@@ -43,7 +43,7 @@
 //
 // Abandoning such a run gains nothing, and the watchdog can be wrong: while a small VM
 // applies thousands of new routes, its process may be too busy to read the engine's
-// answer to a health probe in time, and would cut off an answer that the engine still
+// answer to a health probe in time, and would truncate an answer that the engine still
 // generates. Before the connection is established, an unreachable engine is still
 // replaced by another; afterwards the kernel's keep-alive detects a VM that is gone.
 func (g *generationRun) onConnected(w *watchdog) {
--- a/router/watch.go
+++ b/router/watch.go
@@ -125,7 +125,7 @@
 	w.timer.Stop()
 }
 
-// stop ends the watchdog for good.
+// stop ends the watchdog permanently.
 func (w *watchdog) stop() {
 	if w == nil {
 		return
--- a/router/watch_test.go
+++ b/router/watch_test.go
@@ -52,11 +52,11 @@
 					return nil
 				}
 				<-ctx.Done()
-				return router.ErrLost.Wrap(ctx.Err(), "dark")
+				return router.ErrLost.Wrap(ctx.Err(), "no answer")
 			},
 			alive: func(ctx context.Context, _ *router.Endpoint) error {
 				<-ctx.Done()
-				return router.ErrUnreachable.Wrap(ctx.Err(), "dark")
+				return router.ErrUnreachable.Wrap(ctx.Err(), "no answer")
 			},
 		}
 		r := newRouter(f, engine("p1", router.Prefill), engine("p2", router.Prefill), engine("d", router.Decode))
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -38,7 +38,7 @@
 	maxStaleBody    = 64 << 10
 )
 
-// Response is an answer. The caller reads its body with Read and must call Done.
+// Response is an answer. The caller reads its body with Read and must call Close.
 type Response struct {
 	Status  int
 	Header  http.Header
@@ -66,7 +66,7 @@
 )
 
 // Do sends a request and returns when the header of its answer has arrived. The
-// connection is closed if ctx ends before Done. Errors are ErrConnect and
+// connection is closed if ctx ends before Close. Errors are ErrConnect and
 // ErrLost.
 func (p *Pool) Do(ctx context.Context, t Target, req *Request) (*Response, error) {
 	c, err := p.get(ctx, t, req.NewConnection)
--- a/upstream/tcp.go
+++ b/upstream/tcp.go
@@ -39,7 +39,7 @@
 }
 
 // isIdle reports whether a connection is open and has no bytes to read. It asks
-// the kernel without blocking and is called right before a kept connection is
+// the kernel without blocking and is called right before an idle connection is
 // used. A connection without a file descriptor always counts as idle.
 //
 // An endpoint may have closed the connection, which would lose the request, or
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -157,7 +157,7 @@
 	assert.EqualValues(t, 2, count.Load())
 }
 
-// TestNoAutomaticRetry: an endpoint reads a request on a kept connection and
+// TestNoAutomaticRetry: an endpoint reads a request on a reused connection and
 // closes it without an answer. An HTTP client that retries by itself would run
 // the request twice, outside the retry budget.
 func TestNoAutomaticRetry(t *testing.T) {
--- a/wire/kinds.go
+++ b/wire/kinds.go
@@ -75,52 +75,52 @@
 // Kind implements Message.
 func (*ConfigRequest) Kind() Kind { return KindConfigRequest }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Reserve) AttemptID() ID { return m.ID }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Granted) AttemptID() ID { return m.ID }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Refused) AttemptID() ID { return m.ID }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Prefill) AttemptID() ID { return m.ID }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Prefilled) AttemptID() ID { return m.ID }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Decode) AttemptID() ID { return m.ID }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Chunk) AttemptID() ID { return m.ID }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Ack) AttemptID() ID { return m.ID }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Finish) AttemptID() ID { return m.ID }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Failed) AttemptID() ID { return m.ID }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Cancel) AttemptID() ID { return m.ID }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Cancelled) AttemptID() ID { return m.ID }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Offer) AttemptID() ID { return m.ID }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Start) AttemptID() ID { return m.ID }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Withdraw) AttemptID() ID { return m.ID }
 
-// AttemptID implements Attempted.
+// AttemptID implements AttemptMessage.
 func (m *Outcome) AttemptID() ID { return m.ID }
 
 // newMessage returns an empty message of kind k, or nil if k is unknown.
--- a/wire/report.go
+++ b/wire/report.go
@@ -56,7 +56,7 @@
 	Most    int
 	MostAge time.Duration
 	// CrashRates holds, for each of Crashes, the rate of endpoint crashes at that time,
-	// in crashes a second. It is a separate list because Crash can't get new fields: a
+	// in crashes per second. It is a separate list because Crash can't get new fields: a
 	// receiver refuses a nested struct with another number of fields.
 	CrashRates []float64
 	// Use is the sender's own use of workspaces that have a limit, as far as it is
@@ -81,7 +81,7 @@
 type EndpointLimit struct {
 	// Endpoint is the endpoint's quota.ID.
 	Endpoint uint64
-	// Named is set if the endpoint advertises a limit, of PerSecond requests a second.
+	// Named is set if the endpoint advertises a limit, of PerSecond requests per second.
 	Named     bool
 	PerSecond float64
 	// Age is the time since it was advertised.
@@ -102,7 +102,7 @@
 // ServiceDemand is the rate of requests for the engines of a service.
 type ServiceDemand struct {
 	Service string
-	// Calls is the number of generations a second, Tokens that of their prompt tokens.
+	// Calls is the number of generations per second, Tokens that of their prompt tokens.
 	Calls, Tokens float64
 }
 
@@ -177,7 +177,7 @@
 	Digests []uint64
 }
 
-// Parts answers Wanted with some of the parts, compressed.
+// Parts answers PartsRequest with some of the parts, compressed.
 type Parts struct {
 	Packed [][]byte
 }
