--- a/lease/table_test.go
+++ b/lease/table_test.go
@@ -27,11 +27,11 @@
 
 // oracle is a simple model of a Table, built from its results.
 type oracle struct {
-	held      map[wire.ID]lease.Request
-	queued    map[wire.ID]lease.Request
-	withdrawn map[wire.ID]bool
-	heard     map[wire.Incarnation]time.Time
-	draining  bool
+	held          map[wire.ID]lease.Request
+	queued        map[wire.ID]lease.Request
+	withdrawn     map[wire.ID]bool
+	lastHeartbeat map[wire.Incarnation]time.Time
+	draining      bool
 }
 
 func (o *oracle) apply(t *rapid.T, table *lease.Table, now time.Time, changes []lease.Change) {
@@ -61,7 +61,7 @@
 }
 
 func (o *oracle) alive(now time.Time, r lease.Request) bool {
-	return now.Sub(o.heard[r.Holder]) <= ttl && now.Before(r.Deadline)
+	return now.Sub(o.lastHeartbeat[r.Holder]) <= ttl && now.Before(r.Deadline)
 }
 
 // TestTableAgainstOracle applies random sequences of operations to a Table. The
@@ -78,7 +78,7 @@
 		}
 		capacity.Headroom = rapid.IntRange(0, capacity.Requests-1).Draw(t, "headroom")
 		table := lease.NewTable(capacity, ttl)
-		o := &oracle{held: map[wire.ID]lease.Request{}, queued: map[wire.ID]lease.Request{}, withdrawn: map[wire.ID]bool{}, heard: map[wire.Incarnation]time.Time{}}
+		o := &oracle{held: map[wire.ID]lease.Request{}, queued: map[wire.ID]lease.Request{}, withdrawn: map[wire.ID]bool{}, lastHeartbeat: map[wire.Incarnation]time.Time{}}
 		now := epoch
 		anyID := func() wire.ID { return id(rapid.Uint64Range(1, 12).Draw(t, "id")) }
 		holder := func() wire.Incarnation { return id(rapid.Uint64Range(100, 102).Draw(t, "holder")) }
@@ -92,7 +92,7 @@
 					WaitUntil: now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "wait")) * time.Millisecond),
 					Deadline:  now.Add(time.Duration(rapid.IntRange(0, 9000).Draw(t, "deadline")) * time.Millisecond),
 				}
-				o.heard[r.Holder] = now
+				o.lastHeartbeat[r.Holder] = now
 				_, held := o.held[r.ID]
 				_, queued := o.queued[r.ID]
 				d := table.Reserve(now, r)
@@ -116,7 +116,7 @@
 			"renew": func(t *rapid.T) {
 				h := holder()
 				table.Renew(now, h)
-				o.heard[h] = now
+				o.lastHeartbeat[h] = now
 			},
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond)
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -361,9 +361,9 @@
 	p.mu.Lock()
 	p.load = l
 	p.opened = 0
-	word := membership.State{Incarnation: p.incarnation, Draining: l.Draining}
+	state := membership.State{Incarnation: p.incarnation, Draining: l.Draining}
 	p.mu.Unlock()
-	if p.view.Merge(p.endpoint.Name, word) && l.Draining {
+	if p.view.Merge(p.endpoint.Name, state) && l.Draining {
 		p.log.Emit(event.PeerDraining)
 	}
 }
--- a/poison/ledger_test.go
+++ b/poison/ledger_test.go
@@ -127,11 +127,11 @@
 	for _, l := range entries {
 		assert.True(t, l.Blocked(now, bad))
 	}
-	newcomer := newLedger()
+	newEntry := newLedger()
 	later := now.Add(10 * time.Minute)
 	updates, upTo := entries[2].Updates(later, 0)
-	newcomer.Merge(later, updates)
-	assert.True(t, newcomer.Blocked(later, bad))
+	newEntry.Merge(later, updates)
+	assert.True(t, newEntry.Blocked(later, bad))
 	more, _ := entries[2].Updates(later, upTo)
 	assert.Empty(t, more, "each update is sent once")
 }
@@ -194,10 +194,10 @@
 	}
 	assert.False(t, there.Blocked(now, innocent))
 	later := now.Add(time.Minute)
-	newcomer := newLedger()
+	newEntry := newLedger()
 	updates, _ := there.Updates(later, 0)
-	newcomer.Merge(later, updates)
-	assert.False(t, newcomer.Blocked(later, innocent))
+	newEntry.Merge(later, updates)
+	assert.False(t, newEntry.Blocked(later, innocent))
 }
 
 // An innocent request ran at three crashed engines during a burst of crashes. It is sent
--- a/router/budget_test.go
+++ b/router/budget_test.go
@@ -168,14 +168,14 @@
 func TestSlackOfIsolatedEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slack = 24
-		_, cutOff := refusedEverywhere(slack, false)
-		r, alone := refusedEverywhere(slack, true)
+		_, isolated := refusedEverywhere(slack, false)
+		r, soleEntry := refusedEverywhere(slack, true)
 		time.Sleep(slackWindow)
-		assert.Zero(t, cutOff(t))
-		assert.Equal(t, slack, alone(t), "configured as the sole entry")
+		assert.Zero(t, isolated(t))
+		assert.Equal(t, slack, soleEntry(t), "configured as the sole entry")
 		time.Sleep(slackWindow)
 		r.SetFleetSize(3) // an entry that was not configured here appears
-		assert.Equal(t, slack/3, alone(t))
+		assert.Equal(t, slack/3, soleEntry(t))
 	})
 }
 
@@ -184,9 +184,9 @@
 
 // refusedEverywhere returns a router whose budget is only its slack, and a function that
 // sends generations which every engine refuses and returns the number of repeats.
-func refusedEverywhere(slack int, alone bool) (*router.Router, func(t *testing.T) int) {
+func refusedEverywhere(slack int, singleEntry bool) (*router.Router, func(t *testing.T) int) {
 	f := &fakeEndpoints{generate: func(*router.Endpoint, router.Start) error { return router.ErrNotRun.New("full") }}
-	r := router.New(router.Settings{RetryWindow: slackWindow, RetrySlack: float64(slack), SingleEntry: alone}, f, event.Nop(), metrics.NewSet())
+	r := router.New(router.Settings{RetryWindow: slackWindow, RetrySlack: float64(slack), SingleEntry: singleEntry}, f, event.Nop(), metrics.NewSet())
 	list := []*router.Endpoint{engine("d1", router.Decode), engine("d2", router.Decode)}
 	r.SetDirectory(router.NewDirectory(1, 0, nil, []*router.Service{llm}, list))
 	return r, func(t *testing.T) int {
--- a/router/place_test.go
+++ b/router/place_test.go
@@ -15,13 +15,13 @@
 
 // localPrefills returns the engines of the generations that started without a prefill
 // result.
-func localPrefills(notes []string) (alone []string) {
+func localPrefills(notes []string) (engines []string) {
 	for _, n := range notes {
 		if strings.HasPrefix(n, "generate") && strings.Contains(n, "result=false") {
-			alone = append(alone, strings.Fields(n)[1])
+			engines = append(engines, strings.Fields(n)[1])
 		}
 	}
-	return alone
+	return engines
 }
 
 // trainEstimates makes a router observe engines that prefill 50 tokens per millisecond,
@@ -52,10 +52,10 @@
 // engine may do that only while it runs no streams.
 func TestLocalPrefillSparesStreams(t *testing.T) {
 	for _, tt := range []struct {
-		name     string
-		slowdown float64
-		streams  int
-		alone    bool
+		name         string
+		slowdown     float64
+		streams      int
+		localPrefill bool
 	}{
 		{"an engine of usual speed", 1, 2, true},
 		{"a slow engine with streams", 1.3, 2, false},
@@ -75,7 +75,7 @@
 				c.PromptTokens = 6000
 				_, fail := r.Generate(t.Context(), c, new(fakeSink))
 				assert.Nil(t, fail)
-				assert.Equal(t, tt.alone, len(localPrefills(f.recorded())) > 0)
+				assert.Equal(t, tt.localPrefill, len(localPrefills(f.recorded())) > 0)
 			})
 		})
 	}
--- a/router/resume_test.go
+++ b/router/resume_test.go
@@ -23,7 +23,7 @@
 				list = append(list, engine(fmt.Sprint("d", i), router.Decode))
 			}
 			const generations = 20
-			asked := 0
+			lookups := 0
 			for i := range generations {
 				c := newCall(resumableRoute, llm)
 				c.ContentHash = uint64(i + 1)
@@ -38,9 +38,9 @@
 				_, fail = newRouter(after, list...).Generate(t.Context(), c, new(fakeSink))
 				require.Nil(t, fail)
 				assert.Equal(t, []string{at}, localPrefills(after.recorded()))
-				asked += count(after.recorded(), "cached")
+				lookups += count(after.recorded(), "cached")
 			}
-			assert.LessOrEqual(t, asked, generations*8)
+			assert.LessOrEqual(t, lookups, generations*8)
 		})
 	}
 }
--- a/router/watch_test.go
+++ b/router/watch_test.go
@@ -75,9 +75,9 @@
 // engine is lost. As the other probe is answered, the stream must not be cut.
 func TestOneLostProbeIsTolerated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var asked atomic.Int32
+		var probes atomic.Int32
 		f := &fakeEndpoints{longPause: time.Second, alive: func(ctx context.Context, _ *router.Endpoint) error {
-			if asked.Add(1)%2 == 1 {
+			if probes.Add(1)%2 == 1 {
 				<-ctx.Done()
 				return router.ErrUnreachable.Wrap(ctx.Err(), "lost")
 			}
@@ -90,7 +90,7 @@
 		assert.Nil(t, fail)
 		assert.Equal(t, allEvents, s.got)
 		assert.Equal(t, 1, count(f.recorded(), "generate"))
-		assert.Positive(t, asked.Load())
+		assert.Positive(t, probes.Load())
 	})
 }
 
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -100,8 +100,8 @@
 }
 
 // get returns an idle connection that is still open, or a new one.
-func (p *Pool) get(ctx context.Context, t Target, fresh bool) (*conn, error) {
-	if fresh {
+func (p *Pool) get(ctx context.Context, t Target, newConnection bool) (*conn, error) {
+	if newConnection {
 		p.evictIdle(t)
 	} else if c := p.takeIdle(t); c != nil {
 		return c, nil
--- a/wire/grow_test.go
+++ b/wire/grow_test.go
@@ -66,9 +66,9 @@
 		frame, err := wire.AppendFrame(nil, sent)
 		require.NoError(t, err)
 		const head = 5
-		var former reportV1
-		require.NoError(t, msgpack.Unmarshal(frame[head:], &former), "the first version reads the current one")
-		assert.Equal(t, reportV1{From: "a:1", Work: work, Revision: 7, Link: 20}, former)
+		var v1 reportV1
+		require.NoError(t, msgpack.Unmarshal(frame[head:], &v1), "the first version reads the current one")
+		assert.Equal(t, reportV1{From: "a:1", Work: work, Revision: 7, Link: 20}, v1)
 		got, err := wire.NewReader(bytes.NewReader(frame)).Next()
 		require.NoError(t, err)
 		assert.Equal(t, sent, got)
