--- a/attempt/server.go
+++ b/attempt/server.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// replyState sends the state of an attempt. Running is sent as well, to
+// replyState sends the state of an attempt. StateRunning is sent as well, to
 // acknowledge the entry's message.
 func (s *Server) replyState(holder wire.Incarnation, id wire.ID) {
 	state, answer, _ := s.table.State(id)
@@ -188,8 +188,8 @@
 	s.effects.Release(id)
 }
 
-// Cancel reports that the caller is gone. A call that has not started never
-// will. A running idempotent call is aborted; a running non-idempotent call
+// Cancel reports that the caller has disconnected. A call that has not started
+// never will. A running idempotent call is aborted; a running non-idempotent call
 // continues to its end, because a partly executed call, such as half a booking,
 // is of no use to anyone.
 func (s *Server) Cancel(now time.Time, holder wire.Incarnation, id wire.ID) {
--- a/router/watch_test.go
+++ b/router/watch_test.go
@@ -52,11 +52,11 @@
 					return nil
 				}
 				<-ctx.Done()
-				return router.ErrLost.Wrap(ctx.Err(), "dark")
+				return router.ErrLost.Wrap(ctx.Err(), "no answer")
 			},
 			alive: func(ctx context.Context, _ *router.Endpoint) error {
 				<-ctx.Done()
-				return router.ErrUnreachable.Wrap(ctx.Err(), "dark")
+				return router.ErrUnreachable.Wrap(ctx.Err(), "no answer")
 			},
 		}
 		r := newRouter(f, engine("p1", router.Prefill), engine("p2", router.Prefill), engine("d", router.Decode))
@@ -75,9 +75,9 @@
 // engine is lost. As the other probe is answered, the stream must not be cut.
 func TestOneLostProbeIsTolerated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var asked atomic.Int32
+		var probes atomic.Int32
 		f := &fakeEndpoints{longPause: time.Second, alive: func(ctx context.Context, _ *router.Endpoint) error {
-			if asked.Add(1)%2 == 1 {
+			if probes.Add(1)%2 == 1 {
 				<-ctx.Done()
 				return router.ErrUnreachable.Wrap(ctx.Err(), "lost")
 			}
@@ -90,7 +90,7 @@
 		assert.Nil(t, fail)
 		assert.Equal(t, allEvents, s.got)
 		assert.Equal(t, 1, count(f.recorded(), "generate"))
-		assert.Positive(t, asked.Load())
+		assert.Positive(t, probes.Load())
 	})
 }
 
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -157,7 +157,7 @@
 	assert.EqualValues(t, 2, count.Load())
 }
 
-// TestNoAutomaticRetry: an endpoint reads a request on a kept connection and
+// TestNoAutomaticRetry: an endpoint reads a request on a reused connection and
 // closes it without an answer. An HTTP client that retries by itself would run
 // the request twice, outside the retry budget.
 func TestNoAutomaticRetry(t *testing.T) {
@@ -329,8 +329,8 @@
 }
 
 // TestResetBeforeSendIsConnectError: an endpoint at its connection limit resets each new
-// connection. The error must say that no part of the request was sent; otherwise the request
-// counts as possibly run and is not sent to another endpoint.
+// connection. The error must say that no part of the request was sent; otherwise the
+// request counts as possibly run and is not sent to another endpoint.
 func TestResetBeforeSendIsConnectError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var dialled, read int
--- a/wire/grow_test.go
+++ b/wire/grow_test.go
@@ -44,8 +44,8 @@
 	Added []string
 }
 
-// fields returns the field values in order: those of the first version, those of the current
-// version, which are not set, and the added one.
+// fields returns the field values in order: those of the first version, those of the
+// current version, which are not set, and the added one.
 func (r longerReport) fields() any {
 	f := r.V1
 	list := []any{f.From, f.DataCentre, f.Incarnation, f.Members, f.Work, f.Avoided, f.Demand, f.Revision, f.Behind, f.Link, f.NoStore}
@@ -66,9 +66,9 @@
 		frame, err := wire.AppendFrame(nil, sent)
 		require.NoError(t, err)
 		const head = 5
-		var former reportV1
-		require.NoError(t, msgpack.Unmarshal(frame[head:], &former), "the first version reads the current one")
-		assert.Equal(t, reportV1{From: "a:1", Work: work, Revision: 7, Link: 20}, former)
+		var v1 reportV1
+		require.NoError(t, msgpack.Unmarshal(frame[head:], &v1), "the first version reads the current one")
+		assert.Equal(t, reportV1{From: "a:1", Work: work, Revision: 7, Link: 20}, v1)
 		got, err := wire.NewReader(bytes.NewReader(frame)).Next()
 		require.NoError(t, err)
 		assert.Equal(t, sent, got)
