--- a/estimate/engine.go
+++ b/estimate/engine.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// SLO holds the service level objectives (SLO) of a route as its operators set
-// them. Estimates derive from them until there are samples: operators who set
-// an objective have engines that can meet it.
+// SLO holds the service level objectives of a route as its operators set them.
+// Estimates derive from them until there are samples: operators who set an
+// objective have engines that can meet it.
 type SLO struct {
 	// Target is the time to the first event.
 	Target time.Duration
@@ -105,7 +105,7 @@
 }
 
 // LocalPrefillTTFT returns the estimated time to the first event at a decode engine that
-// does the prefill itself; tokens and own have the same meaning as for a prefill.
+// does the prefill itself; tokens and own have the same meaning as for PrefillTime.
 func (e *EngineModel) LocalPrefillTTFT(tokens, own int, slo SLO) Duration {
 	if e.localPrefill.Known() {
 		return newTime(e.localPrefill.At(float64(tokens)), e.localPrefill.Spread())
@@ -119,8 +119,8 @@
 	e.localPrefill.Add(float64(tokens), milliseconds(took))
 }
 
-// RecordAbandonedLocalPrefill records an attempt at such an engine that was abandoned
-// before its first event.
+// RecordAbandonedLocalPrefill records an attempt at a decode engine that did the prefill
+// itself, abandoned before the first event.
 func (e *EngineModel) RecordAbandonedLocalPrefill(tokens int, after time.Duration) {
 	e.localPrefill.AddCensored(float64(tokens), milliseconds(after))
 }
@@ -181,7 +181,8 @@
 	return newTime(prior, prior)
 }
 
-// GapPerStream returns how much longer such a gap is for each additional stream.
+// GapPerStream returns how much each additional stream lengthens the gap between two
+// events; zero without samples.
 func (e *EngineModel) GapPerStream() time.Duration {
 	if !e.gap.Known() {
 		return 0
@@ -190,8 +191,9 @@
 }
 
 // PrefillInterference returns how much a prefill of the given duration lengthens a gap of
-// the streams at the same engine. Without samples, the whole prefill is assumed to
-// fall between two events.
+// the streams at the same engine: one mean deviation more than the mean, and at most the
+// prefill itself. Without samples, the whole prefill is assumed to fall between two
+// events.
 func (e *EngineModel) PrefillInterference(prefill time.Duration) time.Duration {
 	if !e.interference.Known() {
 		return prefill
@@ -215,7 +217,8 @@
 // MeanTokens returns the mean number of tokens of an answer; zero without samples.
 func (e *EngineModel) MeanTokens() int { return int(e.answerTokens.Mean(0)) }
 
-// PrefillTimePerToken returns how long a prefill takes per token; zero without samples.
+// PrefillTimePerToken returns how long a prefill engine is busy per prompt token, as a low
+// quantile of the samples; zero without samples.
 func (e *EngineModel) PrefillTimePerToken() time.Duration { return duration(e.prefillPerToken.Value()) }
 
 // PrefillSamples returns the number of prefills recorded.
--- a/estimate/line.go
+++ b/estimate/line.go
@@ -17,8 +17,8 @@
 // exponentially decaying weights, and the mean deviation from it. Neither base nor
 // slope is ever negative. The zero value has no samples.
 type LinearFit struct {
-	// Flat selects the fit while the sizes vary too little for a slope: the same
-	// time for all sizes, or else a time proportional to the size.
+	// Flat selects the fit while the sizes vary too little for a slope: if set, the
+	// same time for all sizes, else a time proportional to the size.
 	Flat bool
 
 	weight       float64
--- a/plugins/scorer/load/load.go
+++ b/plugins/scorer/load/load.go
@@ -8,8 +8,8 @@
 
 func init() { ebonypulley.RegisterPlugin(new(Load)) }
 
-// Load prefers endpoints with low utilization and a small prefill backlog, by the
-// agent's last report and this entry's own requests since.
+// Load prefers endpoints with low utilization and a small prefill backlog,
+// according to the agent's last report and this entry's own requests since.
 type Load struct{}
 
 // PluginInfo implements ebonypulley.Plugin.
--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -40,7 +40,7 @@
 	// evidenceTTL is how long crashes and complete answers count. A caller may send a
 	// poison request for hours, and the service may have been fixed by then.
 	evidenceTTL = time.Hour
-	// maxContents and maxEndpoints bound the memory, at some 100 bytes an entry.
+	// maxContents and maxEndpoints bound the memory, at about 100 bytes per record.
 	maxContents  = 2048
 	maxEndpoints = 1024
 )
@@ -98,7 +98,7 @@
 	seq uint64
 }
 
-// NewDetector returns an instance without records.
+// NewDetector returns a Detector without records.
 func NewDetector() *Detector {
 	return &Detector{contents: make(map[uint64]*record), recentCrashes: make(map[string]time.Time)}
 }
@@ -152,7 +152,7 @@
 }
 
 // add records a crash unless it is already known or a complete answer came after it. It
-// returns the record if the crash was added, else nil; l.mu must be held.
+// returns the record if the crash was added, else nil. The caller holds l.mu.
 func (l *Detector) add(now time.Time, content uint64, c crash) *record {
 	l.countCrash(now, c)
 	r := l.contents[content]
@@ -166,7 +166,7 @@
 	known := slices.ContainsFunc(r.crashes, func(x crash) bool { return x.Endpoint == c.Endpoint })
 	switch {
 	case !c.at.After(r.lastSuccess):
-		l.assignSuccessSeq(r) // the sender of the crash does not know of the answer
+		l.assignSuccessSeq(r) // the sender of the update does not know of the answer
 		return nil
 	case known || len(r.crashes) >= maxCrashes:
 		return nil
@@ -183,8 +183,8 @@
 	return b
 }
 
-// countCrash adds a crash to those that the crash rate is computed from; l.mu must be
-// held.
+// countCrash adds a crash to those that the crash rate is computed from. The caller holds
+// l.mu.
 func (l *Detector) countCrash(now time.Time, c crash) {
 	for id, at := range l.recentCrashes {
 		if now.Sub(at) > rateWindow {
@@ -197,7 +197,7 @@
 }
 
 // clear records a complete answer and removes the crashes up to it. It reports whether
-// there were any; l.mu must be held.
+// there were any. The caller holds l.mu.
 func (l *Detector) clear(r *record, at time.Time) bool {
 	if !at.After(r.lastSuccess) {
 		return false
@@ -213,7 +213,7 @@
 }
 
 // evaluate decides whether a content becomes blocked. If so, it returns the number of its
-// crashes, else zero; l.mu must be held.
+// crashes, else zero. The caller holds l.mu.
 //
 // A poison request crashes an endpoint soon after its start there; an innocent one may
 // have run for any time. So the probability of coincidence for one crash is that of an
@@ -257,8 +257,8 @@
 }
 
 // crashRate returns how often an endpoint crashes, in crashes per second. One crash more
-// than observed is counted, so that a small number of crashes proves nothing; l.mu must be
-// held.
+// than observed is counted, so that a small number of crashes proves nothing. The caller
+// holds l.mu.
 func (l *Detector) crashRate() float64 {
 	alive := 0
 	for _, id := range l.endpoints {
@@ -270,7 +270,7 @@
 }
 
 // evict keeps the number of records within maxContents: it removes expired records or
-// else the oldest one, and a blocked one only if all are blocked. l.mu must be held.
+// else the oldest one, and a blocked one only if all are blocked. The caller holds l.mu.
 func (l *Detector) evict(now time.Time) {
 	if len(l.contents) <= maxContents {
 		return
@@ -294,8 +294,8 @@
 	}
 }
 
-// notifyBlocked calls the callback if evaluate returned a number of crashes; l.mu must not
-// be held.
+// notifyBlocked calls the callback if evaluate returned a number of crashes. The
+// caller must not hold l.mu.
 func (l *Detector) notifyBlocked(content uint64, crashes int) {
 	if crashes > 0 && l.OnBlocked != nil {
 		l.OnBlocked(content, crashes)
--- a/poison/ledger_test.go
+++ b/poison/ledger_test.go
@@ -54,9 +54,9 @@
 }
 
 // Endpoints crash one after the other for other reasons, and callers repeat the same
-// request after each crash. If it had run for a while each time, it must not be blocked
-// for as many crashes as its callers and their attempts can run into. After eight crashes
-// it is blocked whatever else crashes.
+// request after each crash. If it had run for a while each time, the few crashes that its
+// callers' attempts can meet must not block it. After eight crashes it is blocked whatever
+// else crashes.
 func TestInnocentRequestIsNotBlocked(t *testing.T) {
 	l := newLedger()
 	const innocent = 1
--- a/poison/news.go
+++ b/poison/news.go
@@ -36,7 +36,7 @@
 }
 
 // Updates returns the updates for an entry that has received all up to a sequence number,
-// and the sequence number up to which it is complete afterwards.
+// and the sequence number up to which it then has all of them.
 func (l *Detector) Updates(now time.Time, after uint64) ([]Update, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,7 +112,7 @@
 }
 
 // assignSeqs assigns sequence numbers to the crashes of a record that have none, if it has
-// at least minCrashes; l.mu must be held.
+// at least minCrashes. The caller holds l.mu.
 func (l *Detector) assignSeqs(r *record, minCrashes int) {
 	if len(r.crashes) < minCrashes {
 		return
@@ -126,7 +126,7 @@
 }
 
 // assignSuccessSeq assigns a sequence number to the last complete answer of a record unless
-// it has one; l.mu must be held.
+// it has one. The caller holds l.mu.
 func (l *Detector) assignSuccessSeq(r *record) {
 	if r.sequencedSuccess.Equal(r.lastSuccess) {
 		return
--- a/router/admit.go
+++ b/router/admit.go
@@ -114,8 +114,8 @@
 	return a, false
 }
 
-// fullRetryFraction is the fraction of the expected time until one of a full engine's
-// generations ends after which it is tried again: others may end sooner.
+// fullRetryFraction determines when a full engine is tried again, as a fraction of the
+// expected time until one of its generations ends: some end sooner than expected.
 const fullRetryFraction = 0.33
 
 // expectedFull returns how long an engine that refused a reservation is expected to stay
--- a/router/answer.go
+++ b/router/answer.go
@@ -102,7 +102,7 @@
 // Failure is the final answer to a request that was given up.
 type Failure struct {
 	Reason FailureReason
-	// RetryAfter is when the caller may retry; zero if unspecified.
+	// RetryAfter is the suggested retry delay; zero if unspecified.
 	RetryAfter time.Duration
 	// Cause is the underlying error, for the log.
 	Cause error
--- a/router/directory_test.go
+++ b/router/directory_test.go
@@ -9,8 +9,9 @@
 	"ebonypulley/router"
 )
 
-// TestLongestPrefix: for any set of prefixes, the route is the one with the longest
-// prefix of the path; of equal ones, the first.
+// TestLongestPrefix guards against requests that go to the service of a shorter prefix, or
+// to none. For any set of prefixes, the route is the one with the longest prefix of the
+// path; of equal ones, the first.
 func TestLongestPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		word := rapid.StringMatching(`/([ab]/){0,4}`)
--- a/router/gated.go
+++ b/router/gated.go
@@ -33,7 +33,8 @@
 	// healthy.
 	freeExpiries = 2
 	// keyOwnerTimeout is how long a call waits for the owner of its idempotency key: the
-	// time until a replaced process is ready.
+	// time until a replaced process is ready. keyOwnerPollInterval is the time between two
+	// attempts.
 	keyOwnerTimeout      = 5 * time.Second
 	keyOwnerPollInterval = 100 * time.Millisecond
 )
--- a/router/generate.go
+++ b/router/generate.go
@@ -48,7 +48,8 @@
 	prepaid bool
 	// kept is a prefill result that a decode endpoint refused.
 	kept *PrefillResult
-	// warm is the engine whose stream broke off although the engine still runs.
+	// warm is the engine that probably still caches the prompt: its stream broke off
+	// although it still runs, or a lookup for a resuming caller found it.
 	warm *Endpoint
 	// progress says that the last attempt delivered events.
 	progress bool
--- a/router/generate_test.go
+++ b/router/generate_test.go
@@ -229,7 +229,8 @@
 }
 
 // TestCallerGoneDuringPrefill: when a caller disconnects during its prefill, the
-// reservation must be released and nothing generated.
+// reservation must be released, because nobody will use the memory, and nothing
+// generated.
 func TestCallerGoneDuringPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{}
--- a/router/health.go
+++ b/router/health.go
@@ -85,7 +85,7 @@
 	h.recordSuccess(now)
 }
 
-// updateSlowdown compares an observed duration with the expected one.
+// updateSlowdown updates the slowdown with an observed duration and the expected one.
 func (h *health) updateSlowdown(took, expected float64) {
 	if expected > 0 && took > 0 {
 		h.slowdown += (took/expected - h.slowdown) * sampleWeight
--- a/router/late.go
+++ b/router/late.go
@@ -18,8 +18,8 @@
 	// minWait is the minimum time that a generation waits before it is refused: a few
 	// attempts to place it.
 	minWait = 5 * roomPollInterval
-	// retryThreshold is by how much a caller's timeout must be below the longest one of
-	// its route to show that the caller is retrying.
+	// retryThreshold is the difference between the longest timeout of a route's callers
+	// and that of a call above which the caller is assumed to be retrying.
 	retryThreshold = 100 * time.Millisecond
 	// minRetryAnswers and retrySpreadAnswers determine when a refused generation may be
 	// retried, in expected answer durations. After one answer duration all memory in use
@@ -102,7 +102,7 @@
 	return maxFill
 }
 
-// retryDelay returns when a refused caller may retry.
+// retryDelay returns the delay after which a refused caller may retry.
 func (g *generationRun) retryDelay() time.Duration {
 	m := g.r.loads.Engines(g.c.Service)
 	duration := m.AnswerDuration(g.c.Timeout)
--- a/router/notice.go
+++ b/router/notice.go
@@ -15,7 +15,7 @@
 
 // Notice is what an endpoint advertises about itself along with an answer.
 type Notice struct {
-	// SentAt is when the request was sent that it answers.
+	// SentAt is when the request was sent whose answer carries the notice.
 	SentAt time.Time
 	// Draining says that the endpoint is draining and will soon exit.
 	Draining bool
--- a/router/place.go
+++ b/router/place.go
@@ -8,8 +8,8 @@
 )
 
 // Terms of the placement cost besides time. Expected times are learned by package
-// estimate. These terms are fractions of the route's latency target, so that they suit
-// engines of any speed.
+// estimate. Unless stated otherwise, a cost is a fraction of the route's latency target,
+// so that it suits engines of any speed.
 const (
 	// remoteDCFraction is the cost of a KV transfer between data centres in addition to
 	// its duration, for its load on the links between them.
--- a/router/plain.go
+++ b/router/plain.go
@@ -240,7 +240,7 @@
 	return f
 }
 
-// retryDelay returns when a refused call may be retried.
+// retryDelay returns the delay after which a refused call may be retried.
 func (p *plainRun) retryDelay() time.Duration {
 	call := float64(p.r.loads.CallTime(p.c.Service.Name, p.c.Route.LatencyTarget).Mean)
 	unavailable := p.r.unavailableFor(time.Now(), p.c.Service.Name, Plain, p.limited)
@@ -251,8 +251,8 @@
 // failed call, and a second one queued behind others.
 const failureCostCalls = 6.5
 
-// remoteDCCost is the cost of calling an endpoint in another data centre. It only decides
-// between otherwise equal endpoints.
+// remoteDCCost is the cost of calling an endpoint in another data centre, and of one whose
+// slots are all in use. It only decides between otherwise equal endpoints.
 const remoteDCCost = 4 * time.Millisecond
 
 // pickPlain returns the endpoint with the lowest expected call duration.
@@ -276,8 +276,9 @@
 	return best
 }
 
-// plainCost returns the expected duration of a call at an endpoint, given the expected
-// duration for the service.
+// plainCost returns the cost of a call at an endpoint in nanoseconds: its expected
+// duration, and penalties for slots in use, failures, distance and avoided endpoints.
+// expected is the expected duration for the service.
 func (r *Router) plainCost(now time.Time, e *Endpoint, expected float64) float64 {
 	v := r.loads.View(now, e.ID)
 	slots := max(e.Slots, 1)
@@ -292,5 +293,5 @@
 	return cost
 }
 
-// avoidCost ranks an avoided endpoint behind all others.
+// avoidCost, in nanoseconds, ranks an avoided endpoint behind all others.
 const avoidCost = float64(time.Minute)
--- a/router/poison.go
+++ b/router/poison.go
@@ -26,7 +26,7 @@
 // errPoison is returned for a request that crashes the endpoints that run it.
 var errPoison = ErrNotRun.NewSubtype("poison")
 
-// Crashes returns the ledger of requests that were running when endpoints crashed.
+// Crashes returns the detector of requests that crash endpoints.
 func (r *Router) Crashes() *poison.Detector { return r.crashes }
 
 // refusePoison returns an error if the request is blocked because it crashes endpoints.
--- a/router/quota.go
+++ b/router/quota.go
@@ -6,8 +6,8 @@
 	"ebonypulley/quota"
 )
 
-// quotaRetrySpread is the time over which the retries of callers are spread that were
-// refused together because their workspace is at its limit.
+// quotaRetrySpread is the time over which retries are spread when callers are refused
+// together because their workspace is at its limit.
 const quotaRetrySpread = 250 * time.Millisecond
 
 // errQuota is returned for a call whose workspace is at its limit.
--- a/router/stream.go
+++ b/router/stream.go
@@ -155,9 +155,9 @@
 // mayContinueElsewhere reports whether the current run may be followed by another one.
 //
 // If not, a long silence must not end it: an engine may preempt an answer for longer than
-// its events are waited for, and the caller would get a truncated answer from a healthy
-// engine. Such a run ends with the caller's timeout, or by the kernel's keep-alive when
-// the engine's VM is gone.
+// the silence limits, and the caller would get a truncated answer from a healthy engine.
+// Such a run ends with the caller's timeout, or by the kernel's keep-alive when the
+// engine's VM is gone.
 func (g *generationRun) mayContinueElsewhere() bool {
 	maxAttempts := g.c.Route.MaxAttempts
 	return g.c.Route.Resumable && (maxAttempts == 0 || g.runs+1 < maxAttempts)
--- a/router/watch.go
+++ b/router/watch.go
@@ -80,8 +80,8 @@
 	timer        *time.Timer
 	lastActivity time.Time
 	silenceLimits
-	// epoch counts the calls of reset, so that the result of a probe sent before the last
-	// one is ignored.
+	// epoch counts the calls of reset and pause, so that the result of a probe sent before
+	// the last of them is ignored.
 	epoch   int
 	stopped bool
 	decided verdict
