--- a/estimate/engine.go
+++ b/estimate/engine.go
@@ -75,7 +75,7 @@
 	return Duration{Mean: time.Duration(float64(t.Mean) * factor), Spread: time.Duration(float64(t.Spread) * factor)}
 }
 
-func newTime(mean, spread float64) Duration {
+func newDuration(mean, spread float64) Duration {
 	return Duration{Mean: duration(mean), Spread: duration(spread)}
 }
 
@@ -98,17 +98,17 @@
 // prompt itself.
 func (e *EngineModel) PrefillTime(tokens, own int, slo SLO) Duration {
 	if e.prefill.Known() {
-		return newTime(e.prefill.At(float64(tokens)), e.prefill.Spread())
+		return newDuration(e.prefill.At(float64(tokens)), e.prefill.Spread())
 	}
 	mean := milliseconds(slo.Target) * priorPrefillFraction * float64(tokens) / float64(max(own, 1))
-	return newTime(mean, mean)
+	return newDuration(mean, mean)
 }
 
 // LocalPrefillTTFT returns the estimated time to the first event at a decode engine that
 // does the prefill itself; tokens and own have the same meaning as for PrefillTime.
 func (e *EngineModel) LocalPrefillTTFT(tokens, own int, slo SLO) Duration {
 	if e.localPrefill.Known() {
-		return newTime(e.localPrefill.At(float64(tokens)), e.localPrefill.Spread())
+		return newDuration(e.localPrefill.At(float64(tokens)), e.localPrefill.Spread())
 	}
 	return e.PrefillTime(tokens, own, slo).Scale(max(e.Slowdown, 1)).Add(e.HandoffTime(false, slo))
 }
@@ -154,7 +154,7 @@
 		m = &e.handoff[handoffIndex(!remote)]
 	}
 	prior := milliseconds(slo.Target) * priorHandoffFraction
-	return newTime(m.Mean(prior), m.Spread(prior))
+	return newDuration(m.Mean(prior), m.Spread(prior))
 }
 
 // RecordGap records the gap between two events of one of several streams at an engine
@@ -175,10 +175,10 @@
 // prefill.
 func (e *EngineModel) EventGap(streams int, slo SLO) Duration {
 	if e.gap.Known() {
-		return newTime(e.gap.At(float64(streams)), e.gap.Spread())
+		return newDuration(e.gap.At(float64(streams)), e.gap.Spread())
 	}
 	prior := milliseconds(slo.maxGap()) * priorGapFraction
-	return newTime(prior, prior)
+	return newDuration(prior, prior)
 }
 
 // GapPerStream returns how much each additional stream lengthens the gap between two
--- a/poison/ledger_test.go
+++ b/poison/ledger_test.go
@@ -21,7 +21,7 @@
 	soon = 80 * time.Millisecond
 )
 
-func newLedger() *poison.Detector {
+func newDetector() *poison.Detector {
 	l := poison.NewDetector()
 	ids := make([]string, 0, endpoints)
 	for i := range endpoints {
@@ -36,7 +36,7 @@
 // A request that crashes each endpoint soon after its start there is blocked after the
 // third crash, not after the second.
 func TestThreeCrashesBlock(t *testing.T) {
-	l := newLedger()
+	l := newDetector()
 	found := 0
 	l.OnBlocked = func(content uint64, crashes int) {
 		assert.Equal(t, uint64(bad), content)
@@ -58,7 +58,7 @@
 // callers' attempts can meet must not block it. After eight crashes it is blocked whatever
 // else crashes.
 func TestInnocentRequestIsNotBlocked(t *testing.T) {
-	l := newLedger()
+	l := newDetector()
 	const innocent = 1
 	for i := range 12 {
 		l.RecordCrash(at(time.Duration(i)*700*time.Millisecond), uint64(100+i), poison.Attempt{Endpoint: name(i), Lasted: time.Second})
@@ -75,7 +75,7 @@
 // which looks as if it had run. It must be blocked after five crashes, although engines
 // crash during other requests too.
 func TestQueuedPoisonIsBlocked(t *testing.T) {
-	l := newLedger()
+	l := newDetector()
 	for i := range 5 {
 		now := at(time.Duration(i) * time.Second)
 		assert.False(t, l.Blocked(now, bad))
@@ -89,7 +89,7 @@
 // at each crashed endpoint. As it is answered completely in between, at this or another
 // entry, no entry may block it.
 func TestCompleteAnswerClearsCrashes(t *testing.T) {
-	here, there := newLedger(), newLedger()
+	here, there := newDetector(), newDetector()
 	for i := range 10 {
 		now := at(time.Duration(i) * time.Second)
 		here.RecordCrash(now, bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
@@ -115,7 +115,7 @@
 // have exchanged updates. An entry that starts later learns of it from any one of them,
 // although that one saw only a single crash itself.
 func TestCrashesOfAllEntriesCount(t *testing.T) {
-	entries := []*poison.Detector{newLedger(), newLedger(), newLedger()}
+	entries := []*poison.Detector{newDetector(), newDetector(), newDetector()}
 	for i, l := range entries {
 		l.RecordCrash(at(time.Duration(i)*time.Second), bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
 	}
@@ -127,7 +127,7 @@
 	for _, l := range entries {
 		assert.True(t, l.Blocked(now, bad))
 	}
-	newEntry := newLedger()
+	newEntry := newDetector()
 	later := now.Add(10 * time.Minute)
 	updates, upTo := entries[2].Updates(later, 0)
 	newEntry.Merge(later, updates)
@@ -139,7 +139,7 @@
 // Entries must not relay updates to each other endlessly, which would keep a request
 // blocked and fill the links.
 func TestRelayedUpdatesExpire(t *testing.T) {
-	a, b := newLedger(), newLedger()
+	a, b := newDetector(), newDetector()
 	for i := range 3 {
 		a.RecordCrash(at(0), bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
 	}
@@ -156,7 +156,7 @@
 // During an outage all endpoints crash again and again, with other requests running each
 // time. The number of records stays bounded, and a blocked content stays blocked.
 func TestLedgerIsBounded(t *testing.T) {
-	l := newLedger()
+	l := newDetector()
 	for i := range 3 {
 		l.RecordCrash(at(0), bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
 	}
@@ -183,7 +183,7 @@
 // as updates and must judge them by the crash rate of the burst, not by its own.
 func TestCrashRateOfBurstIsShared(t *testing.T) {
 	const innocent = 1
-	there := newLedger()
+	there := newDetector()
 	now := at(0)
 	for i := range 12 {
 		now = at(time.Duration(i) * 700 * time.Millisecond)
@@ -194,7 +194,7 @@
 	}
 	assert.False(t, there.Blocked(now, innocent))
 	later := now.Add(time.Minute)
-	newEntry := newLedger()
+	newEntry := newDetector()
 	updates, _ := there.Updates(later, 0)
 	newEntry.Merge(later, updates)
 	assert.False(t, newEntry.Blocked(later, innocent))
@@ -204,7 +204,7 @@
 // again after the burst, and one more engine crashes. It must not be blocked for that.
 func TestCrashAfterBurstDoesNotBlock(t *testing.T) {
 	const innocent = 1
-	l := newLedger()
+	l := newDetector()
 	for i := range 12 {
 		l.RecordCrash(at(time.Duration(i)*700*time.Millisecond), uint64(100+i), poison.Attempt{Endpoint: name(i), Lasted: time.Second})
 	}
--- a/router/admit.go
+++ b/router/admit.go
@@ -92,10 +92,10 @@
 	if p.warm || p.fill < reserveThreshold {
 		return a, true
 	}
-	stage, cancel := context.WithTimeout(ctx, reserveTimeout)
+	reserveCtx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	var err error
-	a.reservation, err = g.r.endpoints.Reserve(stage, p.decode, g.c, ReserveRequest{Tokens: g.c.initialTokens(), Hold: g.holdTime(p)})
+	a.reservation, err = g.r.endpoints.Reserve(reserveCtx, p.decode, g.c, ReserveRequest{Tokens: g.c.initialTokens(), Hold: g.holdTime(p)})
 	if err == nil {
 		return a, true
 	}
--- a/router/balance.go
+++ b/router/balance.go
@@ -107,11 +107,11 @@
 	if prefills == 0 || decodes == 0 {
 		return 0
 	}
-	strain := l.bottleneck(prefills, decodes)
-	if strain < minBalanceLoad {
+	current := l.bottleneck(prefills, decodes)
+	if current < minBalanceLoad {
 		return 0
 	}
-	enough := strain * (1 - minBalanceGain)
+	enough := current * (1 - minBalanceGain)
 	if prefills > 1 && l.bottleneck(prefills-1, decodes+1) < enough {
 		return -1
 	}
--- a/router/health.go
+++ b/router/health.go
@@ -220,11 +220,11 @@
 }
 
 // RecordFull records that an endpoint has less free memory than estimated. It gets no
-// generations until one of those running there is expected to end.
-func (l *LoadTracker) RecordFull(now time.Time, endpoint string, until time.Duration) {
+// generations for this duration, in which none of those running there is expected to end.
+func (l *LoadTracker) RecordFull(now time.Time, endpoint string, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.healthOf(now, endpoint).fullUntil = now.Add(until)
+	l.healthOf(now, endpoint).fullUntil = now.Add(duration)
 }
 
 // RecordBackoff records that an endpoint asked this process to send nothing for this
--- a/router/model.go
+++ b/router/model.go
@@ -59,8 +59,8 @@
 	SilenceTimeout time.Duration
 	// KeyExempt routes need no workspace key.
 	KeyExempt bool
-	// MaxAttempts is the maximum number of endpoints that one request may be sent to; zero
-	// leaves it to the retry budget.
+	// MaxAttempts is the maximum number of endpoints that one request may be sent to. With
+	// agents it may be zero, which leaves it to the retry budget.
 	MaxAttempts int
 	// Rank is the urgency of the route among those of its services, 0 being the most
 	// urgent.
--- a/router/place.go
+++ b/router/place.go
@@ -202,8 +202,8 @@
 }
 
 // targetFraction returns a fraction of the route's latency target.
-func (pl *placer) targetFraction(part float64) time.Duration {
-	return time.Duration(part * float64(pl.slo.Target))
+func (pl *placer) targetFraction(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(pl.slo.Target))
 }
 
 // sampleSize is the number of engines of a stage that one placement compares.
@@ -282,7 +282,7 @@
 		return nil
 	}
 	attempts := r.loads.attemptsPerEndpoint(now, list[0].Service, len(list))
-	sides := make([]candidate, 0, len(list))
+	accepting := make([]candidate, 0, len(list))
 	for _, e := range list {
 		if o.tried[e.ID] || now.Before(o.limited[e.ID]) {
 			continue
@@ -292,9 +292,9 @@
 			continue
 		}
 		v.FailureRate = max(v.FailureRate, r.loads.peerFailureRate(now, e.ID, attempts))
-		sides = append(sides, candidate{e: e, view: v})
+		accepting = append(accepting, candidate{e: e, view: v})
 	}
-	return sides
+	return accepting
 }
 
 // addCosts sets the cost of each endpoint itself.
--- a/router/prefill.go
+++ b/router/prefill.go
@@ -30,11 +30,11 @@
 	tokens := r.loads.View(began, p.prefill.ID).PrefillTokens + c.PromptTokens
 	work := r.loads.Begin(p.prefill.ID, Load{PrefillTokens: c.PromptTokens})
 	defer work.End()
-	stage, cancel := context.WithCancel(ctx)
+	prefillCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w := r.startWatchdog(p.prefill, stepLimits(p.prefillTime, g.callerTimeLeft(began)), cancel)
 	defer w.stop()
-	res, err := r.endpoints.Prefill(stage, p.prefill, c)
+	res, err := r.endpoints.Prefill(prefillCtx, p.prefill, c)
 	err = asUnreachable(w.verdict, err)
 	took := time.Since(began)
 	g.refundUnreached(err)
--- a/router/router.go
+++ b/router/router.go
@@ -111,8 +111,8 @@
 // Loads returns the load and health records of the endpoints.
 func (r *Router) Loads() *LoadTracker { return r.loads }
 
-// SetFleetSize sets the number of entries that share the retry budget and the limits. It
-// includes entries that are no longer heard from.
+// SetFleetSize sets the number of entries that share the retry budget and the limits,
+// including those that no longer report.
 func (r *Router) SetFleetSize(n int) { r.quotas.SetFleetSize(n) }
 
 // SetRetryBudget changes the parameters of the retry budget.
--- a/router/stream.go
+++ b/router/stream.go
@@ -20,12 +20,12 @@
 	if err := g.chargeArrival(); err != nil {
 		return err
 	}
-	attempt, cancel := context.WithCancel(ctx)
+	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w := g.r.startWatchdog(p.decode, stepLimits(g.timeToFirstEvent(p, start), g.callerTimeLeft(time.Now())), cancel)
 	defer w.stop()
 	start.Connected = func() { g.onConnected(w) }
-	err := asUnreachable(w.verdict, g.exchange(attempt, p, start, w, a.work))
+	err := asUnreachable(w.verdict, g.exchange(attemptCtx, p, start, w, a.work))
 	g.refundUnreached(err)
 	a.permits.decode.markSent(err)
 	if !errorx.IsOfType(err, ErrNotRun) {
