--- a/router/generate.go
+++ b/router/generate.go
@@ -48,7 +48,8 @@
 	prepaid bool
 	// kept is a prefill result that a decode endpoint refused.
 	kept *PrefillResult
-	// warm is the engine whose stream broke off although the engine still runs.
+	// warm is the engine that probably still caches the prompt: its stream broke off
+	// although it still runs, or a lookup for a resuming caller found it.
 	warm *Endpoint
 	// progress says that the last attempt delivered events.
 	progress bool
@@ -129,8 +130,8 @@
 	took := time.Since(g.c.ReceivedAt)
 	g.r.metrics.Histogram("whole." + g.c.class()).Record(took)
 	if g.runs == 1 && g.c.ResumeAfter == NoEvent && g.events > 1 {
-		tokens, life := g.events*g.c.stride(), took-g.ttft
-		g.r.loads.Learn(g.c.Service, func(m *estimate.EngineModel) { m.RecordAnswer(tokens, life) })
+		tokens, duration := g.events*g.c.stride(), took-g.ttft
+		g.r.loads.Learn(g.c.Service, func(m *estimate.EngineModel) { m.RecordAnswer(tokens, duration) })
 	}
 	g.r.log.Emit(event.RequestAnswered, zap.String("request", g.c.ID), zap.String("route", g.c.Route.Name), zap.Duration("took", took),
 		zap.Duration("first", g.ttft), zap.Duration("longest_pause", g.longestGap), zap.Int("runs", g.runs))
--- a/router/health.go
+++ b/router/health.go
@@ -85,7 +85,7 @@
 	h.recordSuccess(now)
 }
 
-// updateSlowdown compares an observed duration with the expected one.
+// updateSlowdown updates the slowdown with an observed duration and the expected one.
 func (h *health) updateSlowdown(took, expected float64) {
 	if expected > 0 && took > 0 {
 		h.slowdown += (took/expected - h.slowdown) * sampleWeight
@@ -220,11 +220,11 @@
 }
 
 // RecordFull records that an endpoint has less free memory than estimated. It gets no
-// generations until one of those running there is expected to end.
-func (l *LoadTracker) RecordFull(now time.Time, endpoint string, until time.Duration) {
+// generations for this duration, in which none of those running there is expected to end.
+func (l *LoadTracker) RecordFull(now time.Time, endpoint string, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.healthOf(now, endpoint).fullUntil = now.Add(until)
+	l.healthOf(now, endpoint).fullUntil = now.Add(duration)
 }
 
 // RecordBackoff records that an endpoint asked this process to send nothing for this
--- a/router/stream.go
+++ b/router/stream.go
@@ -20,12 +20,12 @@
 	if err := g.chargeArrival(); err != nil {
 		return err
 	}
-	attempt, cancel := context.WithCancel(ctx)
+	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w := g.r.startWatchdog(p.decode, stepLimits(g.timeToFirstEvent(p, start), g.callerTimeLeft(time.Now())), cancel)
 	defer w.stop()
 	start.Connected = func() { g.onConnected(w) }
-	err := asUnreachable(w.verdict, g.exchange(attempt, p, start, w, a.work))
+	err := asUnreachable(w.verdict, g.exchange(attemptCtx, p, start, w, a.work))
 	g.refundUnreached(err)
 	a.permits.decode.markSent(err)
 	if !errorx.IsOfType(err, ErrNotRun) {
@@ -155,9 +155,9 @@
 // mayContinueElsewhere reports whether the current run may be followed by another one.
 //
 // If not, a long silence must not end it: an engine may preempt an answer for longer than
-// its events are waited for, and the caller would get a truncated answer from a healthy
-// engine. Such a run ends with the caller's timeout, or by the kernel's keep-alive when
-// the engine's VM is gone.
+// the silence limits, and the caller would get a truncated answer from a healthy engine.
+// Such a run ends with the caller's timeout, or by the kernel's keep-alive when the
+// engine's VM is gone.
 func (g *generationRun) mayContinueElsewhere() bool {
 	maxAttempts := g.c.Route.MaxAttempts
 	return g.c.Route.Resumable && (maxAttempts == 0 || g.runs+1 < maxAttempts)
