--- a/attempt/key.go
+++ b/attempt/key.go
@@ -102,7 +102,7 @@
 
 // isNew reports whether a key without a record is certainly new: either the
 // table covers the whole window, or the key is a UUIDv7 whose time lies after
-// completeSince. A key from the future is not accepted, beyond maxClockSkew.
+// completeSince and not more than maxClockSkew in the future.
 func (t *keyTable) isNew(now time.Time, value string) bool {
 	if now.Sub(t.completeSince) >= t.limits.Window {
 		return true
--- a/attempt/server.go
+++ b/attempt/server.go
@@ -51,7 +51,8 @@
 // Table returns the table of attempts, so that it can be configured.
 func (s *Server) Table() *Table { return s.table }
 
-// Tracks reports whether the server tracks the attempt.
+// Tracks reports whether the attempt waits for its lease, runs, or has ended with a
+// result that the entry has not acknowledged.
 func (s *Server) Tracks(id wire.ID) bool { return s.calls[id] != nil }
 
 // Offer registers a call and asks for its lease.
--- a/gossip/fetch.go
+++ b/gossip/fetch.go
@@ -32,7 +32,7 @@
 	// values holds the incomplete values by their index in the reply.
 	values map[int]*parts.Assembly
 	began  time.Time
-	// progress is when the last missing part arrived.
+	// progress is when a part that was missing last arrived.
 	progress time.Time
 	// failed says that the sender can't complete it.
 	failed bool
@@ -83,8 +83,8 @@
 	return list
 }
 
-// addParts adds parts that arrived. If none of them is missing here, the fetch has failed:
-// the sender has a newer value by now, which the next reply describes.
+// addParts adds parts that arrived. If there are none, or none that was missing, the fetch has
+// failed: the sender has a newer value by now, which the next reply describes.
 func (f *fetch) addParts(now time.Time, packed [][]byte) error {
 	fresh := false
 	for _, p := range packed {
--- a/gossip/members.go
+++ b/gossip/members.go
@@ -23,8 +23,9 @@
 	// before it is forgotten, unless it is a seed. It is several times the gap between two
 	// mentions of an entry in a fleet of a thousand.
 	forgetTimeout = 30 * time.Second
-	// maxPeers bounds the entries that one entry reports to. Connections in both directions
-	// take 60 kB each, together 6 MB of the 32 MB that control traffic may take.
+	// maxPeers bounds the entries that one entry reports to. The connections to and from one
+	// of them take 60 kB of memory, all together 6 MB of the 32 MB that control traffic may
+	// take.
 	maxPeers = 96
 	// remotePeers is the number of them reserved for other data centres, so that the reports
 	// between data centres do not grow with the fleet.
@@ -58,7 +59,7 @@
 	// listCursor is the last address in the last list of members.
 	listCursor string
 	// peakAlive is the most entries that were ever alive at a time, this one included;
-	// lowestSince is when this entry became the one with the lowest address.
+	// lowestSince is since when this entry has met the conditions to lead, except for leadDelay.
 	peakAlive   int
 	lowestSince time.Time
 	// maxEntries is the largest fleet size known, and maxEntriesAt when it was seen.
@@ -135,7 +136,7 @@
 			continue
 		}
 		m.lastMentioned[e.Addr] = now
-		if _, heard := m.lastSeen[e.Addr]; heard {
+		if _, seen := m.lastSeen[e.Addr]; seen {
 			continue // its own report takes precedence
 		}
 		if e.DataCentre != "" {
@@ -229,8 +230,9 @@
 	return cmp.Or(cmp.Compare(m.links[b], m.links[a]), cmp.Compare(a, b))
 }
 
-// leadDelay is how long an entry must have had the lowest address it knows before it leads.
-// It is longer than the time for which two leaders must not alternate.
+// leadDelay is how long an entry must have met the other conditions of IsLeader before it
+// leads. It is longer than the period in which an engine must not get orders from two leaders
+// in turns.
 const leadDelay = 3 * time.Second
 
 // IsLeader reports whether this entry gives orders: it has the lowest address of all that any
@@ -238,8 +240,8 @@
 //
 // Entries that are partitioned from each other must not both give orders to an engine. An
 // entry leads only while more than half of the most entries that it has seen alive at a time
-// are alive, while at least one other entry is alive if there are seeds, and after it has had
-// the lowest address for leadDelay.
+// are alive, while at least one other entry is alive if there are seeds, and after all that
+// has been so for leadDelay.
 func (m *Members) IsLeader(now time.Time) bool {
 	alive := len(m.Alive(now)) + 1
 	m.peakAlive = max(m.peakAlive, alive)
--- a/gossip/report.go
+++ b/gossip/report.go
@@ -58,7 +58,8 @@
 			updates[s.crashSeq] = crashes
 		}
 		v := reportVariant{asksPublished: s.addr == asked, members: s.members, use: s.use && (len(use) > 0 || len(limits) > 0), crashSeq: s.crashSeq}
-		// The entry that has waited longest comes first, so that each is asked in turn.
+		// Only the first report of a round asks for corrections. It goes to the entry that has
+		// waited longest for a report, so that each is asked in turn.
 		v.unsure = i == 0 && n.corrections.due(now, n.catalog.Revision())
 		if frames[v] == nil {
 			frames[v] = n.encodeReport(now, work, use, limits, v, crashes)
--- a/lease/table.go
+++ b/lease/table.go
@@ -333,6 +333,8 @@
 	return changes
 }
 
+// alive reports whether the holder of a request has sent a heartbeat within the
+// lease time and the request's deadline has not passed.
 func (t *Table) alive(now time.Time, r Request) bool {
 	return now.Sub(t.lastHeartbeat[r.Holder]) <= t.ttl && now.Before(r.Deadline)
 }
--- a/membership/view.go
+++ b/membership/view.go
@@ -44,11 +44,11 @@
 }
 
 // Merge merges a state of an endpoint, and reports whether that changes the view.
-func (v *View) Merge(endpoint string, w State) bool {
+func (v *View) Merge(endpoint string, s State) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	old := v.states[endpoint]
-	merged := Merge(old, w)
+	merged := Merge(old, s)
 	v.states[endpoint] = merged
 	return merged != old
 }
--- a/peer/manager.go
+++ b/peer/manager.go
@@ -80,14 +80,14 @@
 	m.wg.Go(func() { p.run(ctx) })
 }
 
-// removedPeerTTL is how long the agent of a removed endpoint is dialled, to send
+// removedPeerTTL is how long the agent of a removed endpoint is dialed, to send
 // it the document that removes it.
 const removedPeerTTL = 10 * time.Minute
 
 // Tick stops the peers of removed endpoints that no attempt uses any more and
 // whose agents have the document that removed them.
 //
-// An agent that was partitioned when its endpoint was removed is dialled until
+// An agent that was partitioned when its endpoint was removed is dialed until
 // it has that document or removedPeerTTL has passed. Otherwise it would serve
 // entries with an old document after the partition.
 func (m *Manager) Tick(now time.Time) {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -52,8 +52,8 @@
 	dial     ebonypulley.Dialer
 	stop     context.CancelFunc
 	onFreed  func(time.Duration)
-	// dialled counts the connections made; only run uses it.
-	dialled uint64
+	// dialed counts the connections made; only the goroutine of run uses it.
+	dialed uint64
 
 	mu          sync.Mutex
 	conn        *wire.Conn
@@ -181,7 +181,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	go p.sendHeartbeats(ctx, conn)
-	p.dialled++
+	p.dialed++
 	v := p.store.Version()
 	_ = conn.Send(&wire.Hello{
 		Version:     wire.Version,
@@ -189,7 +189,7 @@
 		Name:        p.self.Name,
 		DataCentre:  p.self.DataCentre,
 		Incarnation: p.self.Incarnation,
-		Connection:  p.dialled,
+		Connection:  p.dialed,
 		Generation:  v.Generation,
 		Digest:      v.Digest,
 	})
--- a/quota/census.go
+++ b/quota/census.go
@@ -25,8 +25,9 @@
 	size, peak int
 	// cautious says that the use by a former incarnation of this entry is unknown.
 	cautious bool
-	// settled says that size is taken for the whole fleet, growing that it was seen to grow
-	// before, and changed is when it last grew.
+	// settled says that size is taken for the whole fleet. growing says that this entry has
+	// seen it grow, or that it was at most firstContactSize when it became known. changed is
+	// when it last grew.
 	settled, growing bool
 	changed          time.Time
 	// grew says that size has grown since changed was last updated, confirmed that another
--- a/quota/news.go
+++ b/quota/news.go
@@ -61,7 +61,7 @@
 type peer struct {
 	incarnation Incarnation
 	use         map[ID]*peerUse
-	lastHeard   time.Time
+	lastReport  time.Time
 	// silent says that the entry has stopped reporting.
 	silent bool
 }
@@ -171,7 +171,7 @@
 	}
 	// What it used while silent came out of the share left to it.
 	silent := p.silent
-	p.lastHeard, p.silent = now, false
+	p.lastReport, p.silent = now, false
 	for _, use := range uses {
 		u := p.use[use.Workspace]
 		if u == nil {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -25,8 +25,8 @@
 	// restartBurstFraction is the fraction of the burst that an entry starts with if it may
 	// have run before, because what its former incarnation admitted is unknown.
 	restartBurstFraction = 0.25
-	// restartRateSlack is the fraction of the rate that a workspace has to leave unused for
-	// an entry that started with a partial bucket to refuse it nothing.
+	// restartRateSlack is the fraction of its rate that a workspace has to leave unused so that
+	// it is refused nothing by an entry that started with a partial bucket.
 	restartRateSlack = 0.1
 	// recentUseTime is the time constant with which an entry's own recent use decays.
 	recentUseTime = 2 * time.Second
@@ -207,7 +207,8 @@
 	OK bool
 	// Limited says that there is a limit, so that what is not used has to be returned.
 	Limited bool
-	// Wait is how long until the workspace is certain to be admitted if nobody else uses it.
+	// Wait is how long until a request of the workspace is certain to be admitted, if no other
+	// is admitted before.
 	Wait time.Duration
 	// Level is the level of the bucket in tokens, negative for a debt; it is for the log.
 	Level float64
@@ -323,7 +324,7 @@
 	}
 	l.reachable, l.reachableAt = 1, now
 	for _, p := range l.peers {
-		if now.Sub(p.lastHeard) <= silenceTimeout {
+		if now.Sub(p.lastReport) <= silenceTimeout {
 			l.reachable++
 			continue
 		}
@@ -400,7 +401,7 @@
 
 func (f *decayingSum) perSecond(now time.Time) float64 { return f.value(now) / recentUseTime.Seconds() }
 
-// wait returns how long until an account whose bucket has a level admits all requests. The
+// wait returns how long until an account whose bucket is at a level admits all requests. The
 // caller holds l.mu.
 func (l *Ledger) wait(now time.Time, a *account, level float64) time.Duration {
 	wait := a.wait(now, level, a.share)
@@ -431,7 +432,7 @@
 		}
 	}
 	for from, p := range l.peers {
-		if now.Sub(p.lastHeard) > peerRetention {
+		if now.Sub(p.lastReport) > peerRetention {
 			delete(l.peers, from)
 		}
 	}
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -38,7 +38,7 @@
 }
 
 // Send queues m without blocking on the network. It returns ErrClosed if the
-// connection is closed. A full queue closes the connection.
+// connection is closed or the queue is full, which closes the connection.
 func (c *Conn) Send(m Message) error {
 	return c.enqueue(func(out []byte) ([]byte, error) { return AppendFrame(out, m) })
 }
--- a/wire/message.go
+++ b/wire/message.go
@@ -83,7 +83,7 @@
 	DataCentre  string
 	Incarnation Incarnation
 	// Connection is the number of this connection among those that the
-	// dialling process has made to this peer.
+	// dialing process has made to this peer.
 	Connection uint64
 	// Generation and Digest are the version of the sender's configuration
 	// document, as in config.Version.
@@ -110,7 +110,7 @@
 	Down bool
 }
 
-// Ping is a heartbeat from the dialling side. It renews all leases that the
+// Ping is a heartbeat from the dialing side. It renews all leases that the
 // sender holds at the receiver.
 type Ping struct {
 	Seq uint64
@@ -207,8 +207,9 @@
 	ReasonStaleConfig Reason = "stale_config"
 )
 
-// Refused answers Reserve, Offer, Start and Prefill: nothing ran for this ID,
-// and nothing will.
+// Refused answers Reserve, Offer and Prefill: nothing ran for this ID, and
+// nothing will. An agent that has no configuration, or whose endpoint has
+// another role, sends it for any other message about an attempt except Cancel.
 type Refused struct {
 	ID     ID
 	Reason Reason
