--- a/emulator/limit_test.go
+++ b/emulator/limit_test.go
@@ -193,9 +193,9 @@
 	}
 }
 
-// TestEndpointLimitSparesOthers: while one endpoint is limited, no caller may be refused as
-// others have room; and when the limit is lifted, the endpoint must receive its part of the
-// load again.
+// TestEndpointLimitSparesOthers: while one endpoint is limited, no caller may be refused,
+// because the others have room. When the limit is lifted, the endpoint must receive its part
+// of the load again.
 func TestEndpointLimitSparesOthers(t *testing.T) {
 	t.Parallel()
 	runLimitTest(t, 5, 1, func(d *limitTest) {
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -307,7 +307,7 @@
 
 // TestFormerVersionAfterRestore guards against a failure during a rolling upgrade in which
 // the store is restored from a backup. Entries of the former version must neither make others
-// apply their old configuration again nor fill the network with questions whose answers they
+// apply their old configuration again nor fill the network with requests whose answers they
 // can't use.
 func TestFormerVersionAfterRestore(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
--- a/lease/table_test.go
+++ b/lease/table_test.go
@@ -65,9 +65,9 @@
 }
 
 // TestTableAgainstOracle applies random sequences of operations to a Table. The
-// capacity is never exceeded; nothing is granted after Drain or to a withdrawn
-// ID; leases and queued requests of a dead holder expire; and no request is
-// lost.
+// capacity must never be exceeded; nothing may be granted after Drain or to a
+// withdrawn ID; leases and queued requests of a dead holder must expire; and no
+// request may be lost.
 func TestTableAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		defer invariant.SetHandler(func(r invariant.Rule, d string) { t.Fatalf("%s: %s", r, d) })()
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -11,7 +11,7 @@
 	"ebonypulley/wire"
 )
 
-func randomWord() *rapid.Generator[membership.State] {
+func randomState() *rapid.Generator[membership.State] {
 	return rapid.Custom(func(t *rapid.T) membership.State {
 		return membership.State{
 			Incarnation: wire.Incarnation{rapid.Byte().Draw(t, "incarnation") % 4},
@@ -23,7 +23,7 @@
 // TestMergeLaws: states that arrive late, repeatedly and in any order yield the same view.
 func TestMergeLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := randomWord().Draw(t, "a"), randomWord().Draw(t, "b"), randomWord().Draw(t, "c")
+		a, b, c := randomState().Draw(t, "a"), randomState().Draw(t, "b"), randomState().Draw(t, "c")
 		assert.Equal(t, membership.Merge(a, b), membership.Merge(b, a), "commutative")
 		assert.Equal(t, membership.Merge(a, membership.Merge(b, c)), membership.Merge(membership.Merge(a, b), c), "associative")
 		assert.Equal(t, a, membership.Merge(a, a), "idempotent")
--- a/quota/restart_test.go
+++ b/quota/restart_test.go
@@ -17,8 +17,8 @@
 	testSimultaneousRestart(t, 100*time.Millisecond, 300*time.Millisecond, time.Second)
 }
 
-// testSimultaneousRestart checks that the use stays within what is tolerated when the groups
-// of entries that know each other double once per time.
+// testSimultaneousRestart checks that the use stays within what is tolerated, for each of some
+// times in which the groups of entries that know each other double.
 func testSimultaneousRestart(t *testing.T, times ...time.Duration) {
 	for _, rate := range []float64{47_000, 126_000, 400_000} {
 		for _, doubling := range times {
@@ -36,14 +36,14 @@
 }
 
 // runStaggeredRestart sends a workspace eight times its limit. After six seconds all entries
-// are restarted, and know each other in groups that double.
+// are restarted; they know each other in groups that double each time doubling has passed.
 func runStaggeredRestart(entries int, l quota.Limit, doubling time.Duration) *fleet {
 	return runRestart(entries, l, doubling, 8)
 }
 
 // runRestart sends a workspace a multiple of its limit, and after six seconds restarts all
-// entries. They know each other in groups that double once per time, or all at once if that
-// is zero.
+// entries. They know each other in groups that double each time doubling has passed, or all
+// at once if doubling is zero.
 func runRestart(entries int, l quota.Limit, doubling time.Duration, load float64) *fleet {
 	const step, interval, restart, last = 5 * time.Millisecond, 150 * time.Millisecond, 6 * time.Second, 16 * time.Second
 	f := newFleet(entries, l)
--- a/quota/size_test.go
+++ b/quota/size_test.go
@@ -42,6 +42,7 @@
 	bytesSent() (mean, most float64)
 }
 
+// meter holds the bytes that each entry has sent.
 type meter []float64
 
 func (m meter) bytesSent() (mean, most float64) {
--- a/quota/stated_test.go
+++ b/quota/stated_test.go
@@ -32,16 +32,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := quota.NewLedger(quota.Settings{})
 		l.SetFleetSize(2)
-		newest, named := -1, false
+		newest, advertised := -1, false
 		now := at(time.Minute)
 		for _, second := range rapid.SliceOfN(rapid.IntRange(0, 30), 1, 40).Draw(t, "seconds") {
 			s := quota.EndpointLimit{Endpoint: endpoint, Advertised: second%3 != 0, PerSecond: float64(second), Age: time.Minute - time.Duration(second)*time.Second}
 			l.MergeEndpointLimits(now, []quota.EndpointLimit{s})
 			if second > newest {
-				newest, named = second, s.Advertised
+				newest, advertised = second, s.Advertised
 			}
 		}
-		assert.Equal(t, named, limited(l, now))
+		assert.Equal(t, advertised, limited(l, now))
 	})
 }
 
--- a/quota/ways_test.go
+++ b/quota/ways_test.go
@@ -165,8 +165,8 @@
 }
 
 const (
-	owner = 0
-	batch = 4000
+	owner = 0    // index of the entry that leases
+	batch = 4000 // tokens
 )
 
 func newLeasedTokens(l quota.Limit) limiter {
@@ -226,8 +226,8 @@
 // scenario is a load under which the algorithms are compared.
 type scenario struct {
 	name string
-	// factor is the demand as a multiple of the limit, skewed that most of it comes to one
-	// entry.
+	// factor is the demand as a multiple of the limit; skewed says that nine tenths of it
+	// come to one entry.
 	factor float64
 	skewed bool
 	// exchangeInterval is the pause between two exchanges.
