--- a/agent/agent.go
+++ b/agent/agent.go
@@ -67,7 +67,8 @@
 	expired(id wire.ID)
 	// tick performs the work that depends on time.
 	tick(now time.Time)
-	// backlog returns the number of queued prompt tokens.
+	// backlog returns the number of prompt tokens of the prefills that have not
+	// ended.
 	backlog() int
 	// idle reports whether no result or answer is left to deliver.
 	idle() bool
--- a/agent/decode.go
+++ b/agent/decode.go
@@ -40,7 +40,8 @@
 	// freeing is set while the engine's memory for this job is being freed.
 	freeing bool
 	answer  answerBuffer
-	failed  *wire.Failed
+	// failed is the reply of a failed attempt, kept for a repeated request.
+	failed *wire.Failed
 }
 
 func newDecodeWorker(a *Agent, url string) *decodeWorker {
@@ -294,7 +295,8 @@
 }
 
 // free stops the engine's work on an attempt. The session, if any, then gets a
-// Cancelled message; a repeated Cancel finds that the job is gone.
+// Cancelled message. A Cancel that arrives meanwhile may get no reply; the
+// entry repeats it, and it is acknowledged once the memory is free.
 func (w *decodeWorker) free(job *decodeJob, ack *session) {
 	if job.freeing {
 		return
--- a/cmd/ebonypulley/daemon.go
+++ b/cmd/ebonypulley/daemon.go
@@ -138,7 +138,7 @@
 }
 
 // modTime returns the modification time of a file, or the zero time if the file
-// can't be read; the reload that this change triggers reports the error.
+// can't be read. Such a file counts as changed, and the reload reports the error.
 func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
--- a/cmd/ebonypulley/daemon_test.go
+++ b/cmd/ebonypulley/daemon_test.go
@@ -42,7 +42,7 @@
 	require.NoError(t, os.WriteFile(file, []byte("{}"), 0o600))
 	ended := make(chan error, 1)
 	go func() { ended <- serve(ctx, d, event.Nop(), notifySignals(), "", file) }()
-	time.Sleep(50 * time.Millisecond) // for serve to start its handler
+	time.Sleep(50 * time.Millisecond) // until the goroutine has registered the signal handlers
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	waitForReload(t, d)
 
--- a/config/check.go
+++ b/config/check.go
@@ -294,7 +294,8 @@
 	}
 }
 
-// calls reports declarations that can never match, because an earlier one covers them.
+// calls checks the declared calls of a route. It also reports one that can never match,
+// because an earlier one covers it.
 func (c *checker) calls(path string, calls []Call) {
 	for i, call := range calls {
 		p := fmt.Sprintf("%s/calls/%d", path, i)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -27,8 +27,8 @@
 }
 
 // TestParseDoesNotModifyText: parsing must not blank the comments in the published text.
-// Two entries would send different texts of the same document to an agent, which would
-// log a conflict.
+// Otherwise two entries would send different texts of the same document to an agent, which
+// would log a conflict.
 func TestParseDoesNotModifyText(t *testing.T) {
 	text := bytes.Clone(examples.Almaty)
 	config.Parse("almaty", text)
--- a/config/store.go
+++ b/config/store.go
@@ -111,8 +111,8 @@
 }
 
 // Offer validates a complete document and applies it if it is newer than the current
-// one. Source names its origin in findings, which say why an Invalid document was
-// refused. They are nil for the text that was refused last.
+// one. Source names its origin in the findings, which say why an Invalid document was
+// refused. The findings are nil if the text is the one that was refused last.
 func (s *Store) Offer(source string, text []byte) (OfferResult, jsonc.Findings) {
 	digest := xxhash.Sum64(text)
 	if s.alreadyRejected(digest) {
--- a/engine/api.go
+++ b/engine/api.go
@@ -138,8 +138,8 @@
 	// BlockTokens is the block size of the prefix cache in tokens.
 	BlockTokens = 64
 	// KVBytesPerToken is the size of one token's KV cache in bytes. It matches a
-	// load of 14,000 requests per second that transfers 3,700 GB/s in total, which
-	// is 264 MB a request.
+	// load of 14,000 requests per second that transfers 3,700 GB/s in total: 264 MB
+	// a request, or about 2,000 tokens.
 	KVBytesPerToken = 128 << 10
 )
 
--- a/entry/completion.go
+++ b/entry/completion.go
@@ -44,7 +44,7 @@
 	request *request
 	service *config.Service
 	prompt  string
-	max     int
+	max     int // maximum number of output tokens
 	sink    sink
 	// text is what was written to the sink, delivered the number of tokens in
 	// it.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -66,8 +66,8 @@
 	// allowed in it beyond that ratio.
 	retryWindow = time.Minute
 	retrySlack  = 1
-	// startupWait is how long a new entry leaves connections in the listen
-	// backlog while no endpoint is ready.
+	// startupWait is the longest time that a new entry leaves connections in
+	// the listen backlog because no endpoint is ready.
 	startupWait = 5 * time.Second
 	// seedInterval is the pause before each request to a seed. It lets the
 	// configuration service, when it is up, deliver the document first.
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -33,7 +33,7 @@
 	declared *config.Call
 	path     string
 	body     []byte
-	key      string
+	key      string // the Idempotency-Key; empty for an idempotent call
 }
 
 // maxKeyBytes is the maximum length of an Idempotency-Key.
--- a/entry/tokens.go
+++ b/entry/tokens.go
@@ -94,6 +94,8 @@
 	_ = t.exchange.stream.Send(&wire.Ack{ID: t.exchange.stream.ID(), Next: t.acked}) // acknowledgements are cumulative, a lost one does no harm
 }
 
+// finishError returns io.EOF at the end of an answer of which all tokens have
+// arrived, and router.ErrLost if some are missing.
 func (t *tokenStream) finishError(m *wire.Finish) error {
 	if m.Tokens != t.sequence.next {
 		return router.ErrLost.New("%s sent an answer of %d tokens, %d arrived", t.endpoint.ID, m.Tokens, t.sequence.next)
@@ -102,8 +104,8 @@
 	return io.EOF
 }
 
-// attemptError translates the failure of an attempt. If the prefill result is
-// still usable, nothing was generated.
+// attemptError translates the failure of an attempt. A prefill result that is
+// still usable proves that nothing was generated.
 func (t *tokenStream) attemptError(m *wire.Failed) error {
 	switch {
 	case m.KVAlive:
--- a/fleet/call_test.go
+++ b/fleet/call_test.go
@@ -168,8 +168,8 @@
 	})
 }
 
-// TestWithdrawnBookingNeverStarts: a booking waits for a full service when its caller gives up.
-// It must be withdrawn and never start, even if a slot becomes free right afterwards.
+// TestWithdrawnBookingNeverStarts: a booking is sent while the services stall. If it is reported
+// as not run, it must not start when the services recover; in any case it runs at most once.
 func TestWithdrawnBookingNeverStarts(t *testing.T) {
 	runSim(t, func(s *sim) {
 		for _, p := range s.Services {
--- a/fleet/callers.go
+++ b/fleet/callers.go
@@ -8,8 +8,8 @@
 	"ebonypulley/load"
 )
 
-// AddWorkspace adds a workspace with this key to a document. Its tier is the first that is
-// restricted to spare capacity, or the first that is not.
+// AddWorkspace adds a workspace with this key to a document, in the first tier whose Spare equals
+// spare.
 func AddWorkspace(doc *config.Document, name, key string, spare bool) {
 	hash := config.HashKey(key)
 	for _, t := range doc.Tiers {
--- a/fleet/change_test.go
+++ b/fleet/change_test.go
@@ -241,7 +241,8 @@
 }
 
 // TestInvalidDocumentIsRejected: an operator publishes a document with an error. All processes
-// must reject the whole document, keep the current one and log the refusal.
+// must reject the whole document and keep the current one. (They also log the refusal, which is
+// not checked here.)
 func TestInvalidDocumentIsRejected(t *testing.T) {
 	runSim(t, func(s *sim) {
 		text := s.publishChanged(2, func(doc *config.Document) { doc.Endpoints[0].Pool = "nowhere" })
@@ -279,7 +280,7 @@
 // published document must not be delayed until a long watch ends.
 func TestSilentWatch(t *testing.T) {
 	runSim(t, func(s *sim) {
-		time.Sleep(40 * time.Second) // the first watches have ended
+		time.Sleep(40 * time.Second) // until the first long polls of the agents have ended
 		for i := range s.Plan.Entries {
 			s.net.Silence(s.entryName(i), "config")
 		}
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -145,8 +145,8 @@
 // maxSeeds is the maximum number of agents that an entry can ask for the document at its start.
 const maxSeeds = 4
 
-// seeds returns the seed agents of an entry, up to half of them from its own data centre, these
-// first.
+// seeds returns the seed agents of an entry. The first ones, up to half of maxSeeds, are in its
+// own data centre.
 func (p *Plan) seeds(dc string) []string {
 	var local, remote []string
 	for _, e := range p.Document.Endpoints {
--- a/load/balancer.go
+++ b/load/balancer.go
@@ -18,8 +18,8 @@
 }
 
 // probeInterval is the time between two rounds of health checks and the timeout of
-// each check. An entry's drain notice must be longer, so that the balancer stops
-// sending requests to an entry before it drains.
+// each check. An entry's drain notice must be longer, so that the balancer no longer
+// sends requests to a draining entry when that closes its listener.
 const probeInterval = 500 * time.Millisecond
 
 // NewBalancer returns a balancer of the entries at urls. It takes all of them to be
--- a/settings/platform.go
+++ b/settings/platform.go
@@ -30,7 +30,7 @@
 
 // LoadPlatformEntry reads the settings of an entry on the platform.
 func LoadPlatformEntry(file string) (platform.Settings, error) {
-	s := platform.Settings{QuotaWindow: DefaultPlatformEntry().QuotaWindow}
+	s := platform.Settings{QuotaWindow: DefaultPlatformEntry().QuotaWindow} // quota_window may be left out
 	err := load(file, &s,
 		required("name", &s.Name),
 		required("data_centre", &s.DataCentre),
--- a/soak/agent.go
+++ b/soak/agent.go
@@ -32,8 +32,8 @@
 	index       int
 	incarnation wire.Incarnation
 	up          bool
-	pausedUntil time.Time // paused until then
-	inbox       []func()  // deliveries that arrived during a pause
+	pausedUntil time.Time
+	inbox       []func() // deliveries that arrived during a pause
 	leases      *lease.Table
 	server      *attempt.Server
 	leased      map[wire.ID]bool
--- a/soak/world.go
+++ b/soak/world.go
@@ -149,7 +149,7 @@
 	phase          Phase
 	runs           int
 	reportedNotRun bool
-	// disconnectedAt is when its caller or entry disconnected; zero while it waits.
+	// disconnectedAt is when its caller or entry disconnected, zero before that.
 	disconnectedAt time.Time
 }
 
@@ -256,7 +256,7 @@
 func (w *world) recordRun(id wire.ID) {
 	t := w.attempts[id]
 	if t == nil {
-		w.violation("%s ran long after its phase was ended", id)
+		w.violation("%s ran long after its caller disconnected", id)
 		return
 	}
 	t.runs++
--- a/standin/cache.go
+++ b/standin/cache.go
@@ -10,7 +10,7 @@
 // blockCache is the engine's prefix cache, an LRU cache of blocks. It publishes
 // its events after a lag and loses one in lossInterval of them.
 type blockCache struct {
-	max          int
+	max          int // maximum number of blocks
 	lag          time.Duration
 	lossInterval uint64
 	lru          *list.List
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -66,7 +66,7 @@
 	ctx          context.Context
 	cancel       context.CancelFunc
 	usage        engine.Usage
-	max          int
+	max          int // maximum number of output tokens
 	tokens       []string
 	finishReason string // empty while in progress
 	decoding     bool
@@ -290,6 +290,8 @@
 
 const housekeepingInterval = 20 * time.Millisecond
 
+// housekeeping deletes finished requests and expired prefill results, and
+// updates the reported load and the maximum number of held requests.
 func (e *Engine) housekeeping(ctx context.Context) error {
 	for ebonypulley.Sleep(ctx, housekeepingInterval) {
 		now := time.Now()
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -39,7 +39,7 @@
 func NewPlainService(set PlainSettings) *PlainService {
 	set.CallDuration = cmp.Or(set.CallDuration, jsonc.Duration(5*time.Millisecond))
 	p := &PlainService{settings: set, faults: newFaultInjector(), router: mux.NewRouter(), runs: make(map[string]int)}
-	p.faults.hooks[FaultCrash] = func() {}
+	p.faults.hooks[FaultCrash] = func() {} // a crash has no effect on a plain service
 	p.router.Handle("/admin/fault", p.faults).Methods(http.MethodPost)
 	p.router.HandleFunc("/admin/runs", func(w http.ResponseWriter, _ *http.Request) { reply(w, p.RunCounts()) })
 	p.router.HandleFunc("/health", p.serveHealth)
--- a/standin/store.go
+++ b/standin/store.go
@@ -107,10 +107,10 @@
 
 // Restore restores the store from a backup and ends an outage. Writes since the backup
 // are lost, and their revision numbers will be used again.
-func (s *Store) Restore(c StoreBackup) {
+func (s *Store) Restore(b StoreBackup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.items, s.history, s.revision = maps.Clone(c.items), slices.Clone(c.history), c.revision
+	s.items, s.history, s.revision = maps.Clone(b.items), slices.Clone(b.history), b.revision
 	s.era++
 	s.down = false
 	close(s.changed)
