--- a/agent/agent.go
+++ b/agent/agent.go
@@ -137,7 +137,7 @@
 
 // Run listens on Settings.Listen and serves until ctx ends or Drain completes.
 //
-// The process holds the listening port for its whole life. A paused predecessor
+// The process holds the listening port as long as it exists. A paused predecessor
 // on the same VM therefore keeps its successor from starting, so that two
 // agents never send orders to one endpoint.
 func (a *Agent) Run(ctx context.Context) error {
--- a/agent/decode.go
+++ b/agent/decode.go
@@ -149,8 +149,8 @@
 	w.a.spawn(func() { w.run(job, m, plan) })
 }
 
-// planTransfer reserves a part of this receiver's bandwidth budget for the link
-// that the result comes over.
+// planTransfer reserves a part of this receiver's bandwidth budget on the link
+// from the result's data centre.
 func (w *decodeWorker) planTransfer(kv wire.KVRef) (transfer, bool) {
 	now := time.Now()
 	expiry := now.Add(kv.Lives)
--- a/agent/health.go
+++ b/agent/health.go
@@ -192,8 +192,8 @@
 }
 
 // abortConfirmed frees what the engine holds for an attempt and returns when
-// the engine has confirmed it. An engine that does not answer is asked again.
-// The lease is kept meanwhile, because the memory may still be in use.
+// the engine has confirmed it; until then it repeats the request. The lease is
+// kept meanwhile, because the memory may still be in use.
 func (a *Agent) abortConfirmed(client *engine.Client, id wire.ID) {
 	ctx := a.group.Context()
 	for ctx.Err() == nil {
--- a/agent/orphan.go
+++ b/agent/orphan.go
@@ -15,7 +15,7 @@
 //
 // An agent that crashes leaves its requests in the engine. Their memory is then
 // neither under a lease nor freed by anybody. All work for the engine passes
-// through this agent, so nobody waits for a request that it does not know.
+// through this agent, so no caller waits for a request without a job here.
 func (a *Agent) freeOrphans(ctx context.Context, client *engine.Client) error {
 	list, err := client.Requests(ctx)
 	if err != nil {
--- a/agent/service.go
+++ b/agent/service.go
@@ -28,7 +28,7 @@
 
 // newService returns a client that uses each connection for one call only.
 //
-// A pooled connection that has gone silent swallows the next call, so that an
+// A pooled connection that has gone silent loses the next call, so that an
 // idempotent call never ends. Also, net/http retries a request by itself when a
 // pooled connection breaks before the answer and the request counts as
 // repeatable, as a POST with an Idempotency-Key does, so that a non-idempotent
--- a/agent/session.go
+++ b/agent/session.go
@@ -87,7 +87,7 @@
 // later connection.
 //
 // After a pause the agent finds several connections of one entry in its accept
-// queue. The entry has given up all but the last one, and the handshakes
+// queue. The entry has abandoned all but the last one, and the handshakes
 // complete in any order. Without the connection number, replies could go to a
 // dead connection, and calls would be granted but not started until their
 // deadline.
--- a/soak/entry.go
+++ b/soak/entry.go
@@ -213,7 +213,7 @@
 	}
 }
 
-// abandon forgets an attempt and makes its agent free what it holds for it.
+// abandon deletes an attempt and makes its agent free what it holds for it.
 func (e *entry) abandon(c *clientAttempt) {
 	delete(e.attempts, c.id)
 	e.w.attempts[c.id].disconnectedAt = e.w.now
--- a/soak/processes/proxy.go
+++ b/soak/processes/proxy.go
@@ -105,7 +105,7 @@
 		}
 		if err != nil {
 			if err == io.EOF && l.silent.Load() {
-				time.Sleep(time.Second) // a silent link does not pass on the end at once either
+				time.Sleep(time.Second) // a silent link delays the end of the connection, too
 			}
 			return
 		}
