--- a/agent/agent.go
+++ b/agent/agent.go
@@ -67,7 +67,8 @@
 	expired(id wire.ID)
 	// tick performs the work that depends on time.
 	tick(now time.Time)
-	// backlog returns the number of queued prompt tokens.
+	// backlog returns the number of prompt tokens of the prefills that have not
+	// ended.
 	backlog() int
 	// idle reports whether no result or answer is left to deliver.
 	idle() bool
@@ -136,7 +137,7 @@
 
 // Run listens on Settings.Listen and serves until ctx ends or Drain completes.
 //
-// The process holds the listening port for its whole life. A paused predecessor
+// The process holds the listening port as long as it exists. A paused predecessor
 // on the same VM therefore keeps its successor from starting, so that two
 // agents never send orders to one endpoint.
 func (a *Agent) Run(ctx context.Context) error {
--- a/agent/decode.go
+++ b/agent/decode.go
@@ -40,7 +40,8 @@
 	// freeing is set while the engine's memory for this job is being freed.
 	freeing bool
 	answer  answerBuffer
-	failed  *wire.Failed
+	// failed is the reply of a failed attempt, kept for a repeated request.
+	failed *wire.Failed
 }
 
 func newDecodeWorker(a *Agent, url string) *decodeWorker {
@@ -148,8 +149,8 @@
 	w.a.spawn(func() { w.run(job, m, plan) })
 }
 
-// planTransfer reserves a part of this receiver's bandwidth budget for the link
-// that the result comes over.
+// planTransfer reserves a part of this receiver's bandwidth budget on the link
+// from the result's data centre.
 func (w *decodeWorker) planTransfer(kv wire.KVRef) (transfer, bool) {
 	now := time.Now()
 	expiry := now.Add(kv.Lives)
@@ -294,7 +295,8 @@
 }
 
 // free stops the engine's work on an attempt. The session, if any, then gets a
-// Cancelled message; a repeated Cancel finds that the job is gone.
+// Cancelled message. A Cancel that arrives meanwhile may get no reply; the
+// entry repeats it, and it is acknowledged once the memory is free.
 func (w *decodeWorker) free(job *decodeJob, ack *session) {
 	if job.freeing {
 		return
