--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -250,8 +250,8 @@
 // value known before. The caller holds c.mu.
 //
 // Writers count their writes, so that values of different eras can be compared. Otherwise
-// a restored store would send requests to an endpoint that had begun to drain after the
-// backup, and would revert the configuration to an older one.
+// requests would be sent to an endpoint that had begun to drain after the backup, and the
+// configuration would revert to an older one.
 func (c *Catalog) isRestored(old *record, e Entry) bool {
 	if e.Removed || e.Revision.Era == old.Revision.Era || c.Supersedes == nil {
 		return false
@@ -339,6 +339,7 @@
 	return removals
 }
 
+// notify signals a change. The caller holds c.mu.
 func (c *Catalog) notify(changed bool) {
 	if !changed {
 		return
@@ -350,6 +351,7 @@
 	}
 }
 
+// deleteTombstones deletes tombstones older than tombstoneTTL. The caller holds c.mu.
 func (c *Catalog) deleteTombstones(now time.Time) {
 	for key, r := range c.records {
 		if r.Removed && now.Sub(r.learnedAt) > tombstoneTTL {
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -63,9 +63,9 @@
 	assert.Equal(t, firstEra(8), c.Revision())
 }
 
-// TestReplace: the store has compacted its history, so that only a listing shows which
-// keys were removed; otherwise a removed worker would stay in use. Entries newer than
-// the listing remain.
+// TestReplace: after the store has compacted its history, only a listing shows which keys
+// were removed. MergeListing must remove the keys that the listing lacks, as a removed
+// worker would otherwise stay in use, but keep entries newer than the listing.
 func TestReplace(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := catalog.New()
@@ -76,6 +76,7 @@
 	assert.False(t, entries(c)["newer"].Removed)
 }
 
+// TestSince: ChangesSince returns what changed after a revision, removals included.
 func TestSince(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := catalog.New()
--- a/parts/parts.go
+++ b/parts/parts.go
@@ -61,8 +61,9 @@
 	return table
 }
 
-// cut returns the length of the first part of value. The boundary depends only on the bytes
-// before it, so that an insertion shifts no later boundary.
+// cut returns the length of the first part of value. Besides the size bounds, the boundary
+// depends only on the 64 bytes before it, so that an insertion shifts only the boundaries
+// close after it.
 func cut(value []byte) int {
 	if len(value) <= minPartBytes {
 		return len(value)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -50,10 +50,10 @@
 	// a burst and well below the number of connections that the smallest endpoint
 	// accepts from all entries.
 	maxIdleConns = 8
-	// brokenTTL is the time after a new connection to an endpoint broke in which
-	// further new ones are checked for a reset before they are used. The check
-	// waits for resetWaitRTTs times the time that the connection took to establish,
-	// plus minResetWait for the endpoint to act.
+	// For brokenTTL after a new connection to an endpoint broke, further new ones
+	// are checked for a reset before they are used. The check waits for
+	// resetWaitRTTs times the time that the connection took to establish, plus
+	// minResetWait for the endpoint to act.
 	brokenTTL     = 5 * time.Second
 	resetWaitRTTs = 2
 	minResetWait  = 2 * time.Millisecond
