--- a/stall/stall.go
+++ b/stall/stall.go
@@ -27,7 +27,7 @@
 type Limits struct {
 	// FirstByte is the time until the first byte of the answer, Idle the gap between later ones.
 	FirstByte, Idle time.Duration
-	// Transfer bounds the total time after FirstByte.
+	// Transfer is the time for the rest: the whole read may take FirstByte plus Transfer.
 	Transfer time.Duration
 }
 
