--- a/router/admit.go
+++ b/router/admit.go
@@ -121,7 +121,7 @@
 // expectedFull returns how long an engine that refused a reservation is expected to stay
 // full.
 func (g *generationRun) expectedFull(e *Endpoint) time.Duration {
-	m := g.r.loads.Engines(g.c.Service)
+	m := g.r.loads.EngineModel(g.c.Service)
 	streams := max(g.r.loads.View(time.Now(), e.ID).Decodes, 1)
 	return max(time.Duration(fullRetryFraction*float64(m.AnswerDuration(g.c.Timeout)))/time.Duration(streams), roomPollInterval)
 }
--- a/router/generate.go
+++ b/router/generate.go
@@ -131,7 +131,7 @@
 	g.r.metrics.Histogram("whole." + g.c.class()).Record(took)
 	if g.runs == 1 && g.c.ResumeAfter == NoEvent && g.events > 1 {
 		tokens, duration := g.events*g.c.stride(), took-g.ttft
-		g.r.loads.Learn(g.c.Service, func(m *estimate.EngineModel) { m.RecordAnswer(tokens, duration) })
+		g.r.loads.UpdateModel(g.c.Service, func(m *estimate.EngineModel) { m.RecordAnswer(tokens, duration) })
 	}
 	g.r.log.Emit(event.RequestAnswered, zap.String("request", g.c.ID), zap.String("route", g.c.Route.Name), zap.Duration("took", took),
 		zap.Duration("first", g.ttft), zap.Duration("longest_pause", g.longestGap), zap.Int("runs", g.runs))
--- a/router/late.go
+++ b/router/late.go
@@ -104,7 +104,7 @@
 
 // retryDelay returns the delay after which a refused caller may retry.
 func (g *generationRun) retryDelay() time.Duration {
-	m := g.r.loads.Engines(g.c.Service)
+	m := g.r.loads.EngineModel(g.c.Service)
 	duration := m.AnswerDuration(g.c.Timeout)
 	minDelay := time.Duration(minRetryAnswers * float64(duration))
 	spread := time.Duration(retrySpreadAnswers * float64(duration))
@@ -122,7 +122,7 @@
 // the route's callers is taken for that of first attempts.
 func (g *generationRun) newAdmissionPolicy() admissionPolicy {
 	r, c := g.r, g.c
-	m := r.loads.Engines(c.Service)
+	m := r.loads.EngineModel(c.Service)
 	ttft := m.PrefillTime(c.PromptTokens, c.PromptTokens, c.slo()).Add(m.HandoffTime(false, c.slo())).Mean
 	spent := r.longestTimeout(c) - c.Timeout
 	return admissionPolicy{
--- a/router/learn.go
+++ b/router/learn.go
@@ -11,7 +11,7 @@
 // until all engines are busy with abandoned work. Package estimate learns the speed of a
 // service's engines; the code here also learns how each engine compares with the others.
 
-// engineModel returns the estimates for a service's engines. The caller holds l.mu.
+// engineModel returns the model of a service's engines. The caller holds l.mu.
 func (l *LoadTracker) engineModel(s *Service) *estimate.EngineModel {
 	m := l.engineModels[s.Name]
 	if m == nil {
@@ -24,15 +24,15 @@
 	return m
 }
 
-// Engines returns a copy of the estimates for a service's engines.
-func (l *LoadTracker) Engines(s *Service) estimate.EngineModel {
+// EngineModel returns a copy of the model of a service's engines.
+func (l *LoadTracker) EngineModel(s *Service) estimate.EngineModel {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return *l.engineModel(s)
 }
 
-// Learn updates the estimates for a service's engines.
-func (l *LoadTracker) Learn(s *Service, change func(m *estimate.EngineModel)) {
+// UpdateModel calls change with the model of a service's engines. It holds the lock meanwhile.
+func (l *LoadTracker) UpdateModel(s *Service, change func(m *estimate.EngineModel)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(l.engineModel(s))
--- a/router/place.go
+++ b/router/place.go
@@ -127,7 +127,7 @@
 // without room gets nothing, because its refusal would waste the prefill.
 func (r *Router) place(now time.Time, c *Call, o placeOptions) (placement, bool) {
 	d := r.Directory()
-	pl := placer{call: c, model: r.loads.Engines(c.Service), slo: c.slo()}
+	pl := placer{call: c, model: r.loads.EngineModel(c.Service), slo: c.slo()}
 	decodes := r.sample(pl.withRoom(pl.addCosts(r.candidates(now, d.Endpoints(c.Service.Name, Decode), o)), o.fill), c.ContentHash, o.warm)
 	if len(decodes) == 0 {
 		return placement{}, false
--- a/router/place_test.go
+++ b/router/place_test.go
@@ -33,7 +33,7 @@
 		for _, tokens := range []int{3000, 9000} {
 			r.Loads().RecordPrefill(now, engine("p", router.Prefill), llm, tokens, time.Duration(tokens/50)*time.Millisecond)
 		}
-		r.Loads().Learn(llm, func(m *estimate.EngineModel) { m.RecordHandoff(false, 12*time.Millisecond) })
+		r.Loads().UpdateModel(llm, func(m *estimate.EngineModel) { m.RecordHandoff(false, 12*time.Millisecond) })
 	}
 	const usual = 39 * time.Millisecond
 	for range 100 {
@@ -43,7 +43,7 @@
 		r.Loads().RecordGap(now, engine("d", router.Decode), llm, 2, time.Duration(float64(usual)*slowdown))
 	}
 	for range 20 {
-		r.Loads().Learn(llm, func(m *estimate.EngineModel) { m.RecordGapWithPrefill(2, usual+225*time.Millisecond) })
+		r.Loads().UpdateModel(llm, func(m *estimate.EngineModel) { m.RecordGapWithPrefill(2, usual+225*time.Millisecond) })
 	}
 }
 
@@ -90,7 +90,7 @@
 		trainEstimates(r, 1)
 		_, fail := r.Generate(t.Context(), newCall(resumableRoute, llm), new(fakeSink))
 		assert.Nil(t, fail)
-		model := r.Loads().Engines(llm)
+		model := r.Loads().EngineModel(llm)
 		assert.Greater(t, model.EventGap(1, estimate.SLO{}).Mean, 50*time.Millisecond)
 		assert.Greater(t, r.Loads().View(time.Now(), "d").StepSlowdown, 1.05)
 		assert.Equal(t, 1.0, r.Loads().View(time.Now(), "other").StepSlowdown)
--- a/router/poison.go
+++ b/router/poison.go
@@ -26,8 +26,8 @@
 // errPoison is returned for a request that crashes the endpoints that run it.
 var errPoison = ErrNotRun.NewSubtype("poison")
 
-// Crashes returns the detector of requests that crash endpoints.
-func (r *Router) Crashes() *poison.Detector { return r.crashes }
+// PoisonDetector returns the detector of requests that crash endpoints.
+func (r *Router) PoisonDetector() *poison.Detector { return r.crashes }
 
 // refusePoison returns an error if the request is blocked because it crashes endpoints.
 // It is called before each arrival at an endpoint, because other entries may have
--- a/router/prefill.go
+++ b/router/prefill.go
@@ -55,7 +55,7 @@
 func (g *generationRun) prefillFailed(ctx context.Context, e *Endpoint, tokens int, took time.Duration, v verdict, err error) {
 	now := time.Now()
 	if v == hanging {
-		g.r.loads.Learn(g.c.Service, func(m *estimate.EngineModel) { m.RecordAbandonedPrefill(tokens, took) })
+		g.r.loads.UpdateModel(g.c.Service, func(m *estimate.EngineModel) { m.RecordAbandonedPrefill(tokens, took) })
 	}
 	switch {
 	case v != undecided:
--- a/router/run.go
+++ b/router/run.go
@@ -112,7 +112,7 @@
 		return
 	}
 	took := time.Since(u.sentAt)
-	u.g.r.loads.Learn(u.g.c.Service, func(m *estimate.EngineModel) { change(m, took) })
+	u.g.r.loads.UpdateModel(u.g.c.Service, func(m *estimate.EngineModel) { change(m, took) })
 }
 
 // asUnreachable turns the error of an attempt that the watchdog ended while it was still
--- a/router/stages.go
+++ b/router/stages.go
@@ -128,7 +128,7 @@
 // initial stage sizes while there is none.
 func (r *Router) stageMoves(now time.Time, s *Service, prefills, decodes int) (int, stageLoad) {
 	d, seen := r.loads.demand(now, s.Name)
-	m := r.loads.Engines(s)
+	m := r.loads.EngineModel(s)
 	load := d.load(&m, s.Engine)
 	switch {
 	case d.Calls == 0:
--- a/router/stream.go
+++ b/router/stream.go
@@ -57,7 +57,7 @@
 	if start.Result == nil {
 		return p.firstEvent
 	}
-	m := g.r.loads.Engines(g.c.Service)
+	m := g.r.loads.EngineModel(g.c.Service)
 	return m.HandoffTime(start.Result.Endpoint.DataCentre != p.decode.DataCentre, g.c.slo())
 }
 
@@ -65,7 +65,7 @@
 // elsewhere. A live engine is abandoned only when there is just enough time for another
 // one to send an event before the caller disconnects.
 func (g *generationRun) eventLimits(at *Endpoint) silenceLimits {
-	m := g.r.loads.Engines(g.c.Service)
+	m := g.r.loads.EngineModel(g.c.Service)
 	v := g.r.loads.View(time.Now(), at.ID)
 	gap := m.EventGap(v.Decodes, g.c.slo()).Scale(v.StepSlowdown)
 	l := silenceLimits{probeAfter: max(2*gap.UpperBound(), minProbeAfter)}
@@ -236,7 +236,7 @@
 		g.r.loads.RecordGap(now, at, g.c.Service, v.Decodes, g.gap)
 		return
 	}
-	g.r.loads.Learn(g.c.Service, func(m *estimate.EngineModel) {
+	g.r.loads.UpdateModel(g.c.Service, func(m *estimate.EngineModel) {
 		m.RecordGapWithPrefill(v.Decodes, time.Duration(float64(g.gap)/v.StepSlowdown))
 	})
 }
