--- a/limit/window.go
+++ b/limit/window.go
@@ -49,16 +49,16 @@
 	w.total += n
 }
 
-// MaxTotal returns an upper bound of the number of events in the window: up to one
+// UpperBound returns an upper bound of the number of events in the window: up to one
 // slot before the window is counted as well.
-func (w *Window) MaxTotal(now time.Time) int {
+func (w *Window) UpperBound(now time.Time) int {
 	w.advance(now)
 	return w.total
 }
 
-// MinTotal returns a lower bound of the number of events in the window: its oldest
+// LowerBound returns a lower bound of the number of events in the window: its oldest
 // slot is left out.
-func (w *Window) MinTotal(now time.Time) int {
+func (w *Window) LowerBound(now time.Time) int {
 	w.advance(now)
 	oldest := (w.newest + 1) % int64(len(w.counts))
 	return w.total - w.counts[oldest]
@@ -104,12 +104,12 @@
 	defer b.mu.Unlock()
 	// Both bounds are on the safe side: no first attempt outside the window is
 	// counted, and no retry within it is missed.
-	allowed := b.ratio*float64(b.firstAttempts.MinTotal(now)) + b.slack
-	if float64(b.retries.MaxTotal(now)+1) > allowed {
+	allowed := b.ratio*float64(b.firstAttempts.LowerBound(now)) + b.slack
+	if float64(b.retries.UpperBound(now)+1) > allowed {
 		return false
 	}
 	b.retries.Add(now, 1)
-	invariant.Check(float64(b.retries.MaxTotal(now)) <= allowed, invariant.RetryBudget, "%d retries, %v allowed", b.retries.MaxTotal(now), allowed)
+	invariant.Check(float64(b.retries.UpperBound(now)) <= allowed, invariant.RetryBudget, "%d retries, %v allowed", b.retries.UpperBound(now), allowed)
 	return true
 }
 
