--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -433,8 +433,8 @@
 type KnownEntry struct {
 	Entry
 	LearnedAt time.Time
-	// Changed is the revision of the last relevant change.
-	Changed revision.Revision
+	// ChangedAt is the revision of the last relevant change.
+	ChangedAt revision.Revision
 }
 
 // All returns every entry, removals included. Entries that may only have expired count
@@ -445,7 +445,7 @@
 	defer c.mu.Unlock()
 	list = make([]KnownEntry, 0, len(c.records))
 	for _, r := range c.records {
-		k := KnownEntry{Entry: r.Entry, LearnedAt: r.learnedAt, Changed: r.changedAt}
+		k := KnownEntry{Entry: r.Entry, LearnedAt: r.learnedAt, ChangedAt: r.changedAt}
 		switch {
 		case len(r.removedValue) > 0 && now.Before(r.graceUntil):
 			k.Value, k.Removed = r.removedValue, false
