--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -63,10 +63,10 @@
 	assert.Equal(t, firstEra(8), c.Revision())
 }
 
-// TestReplace: after the store has compacted its history, only a listing shows which keys
+// TestMergeListing: after the store has compacted its history, only a listing shows which keys
 // were removed. MergeListing must remove the keys that the listing lacks, as a removed
-// worker would otherwise stay in use, but keep entries newer than the listing.
-func TestReplace(t *testing.T) {
+// endpoint would otherwise stay in use, but keep entries newer than the listing.
+func TestMergeListing(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := catalog.New()
 	c.Merge(now, []catalog.Entry{{Key: "old", Revision: firstEra(1)}, {Key: "kept", Revision: firstEra(2)}, {Key: "newer", Revision: firstEra(9)}}, firstEra(9))
@@ -76,8 +76,8 @@
 	assert.False(t, entries(c)["newer"].Removed)
 }
 
-// TestSince: ChangesSince returns what changed after a revision, removals included.
-func TestSince(t *testing.T) {
+// TestChangesSince: ChangesSince returns what changed after a revision, removals included.
+func TestChangesSince(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := catalog.New()
 	c.Merge(now, []catalog.Entry{{Key: "a", Revision: firstEra(3)}, {Key: "b", Revision: firstEra(6), Removed: true}}, firstEra(7))
@@ -135,10 +135,10 @@
 	}
 }
 
-// TestSinceIsBounded: many processes that start together request thousands of entries
+// TestChangesSinceIsBounded: many processes that start together request thousands of entries
 // from one process, which would run out of memory. Each gets them in batches, and all
 // of them in the end.
-func TestSinceIsBounded(t *testing.T) {
+func TestChangesSinceIsBounded(t *testing.T) {
 	const keys = 1000
 	now := time.Unix(100, 0)
 	full, other := catalog.New(), catalog.New()
--- a/poison/ledger_test.go
+++ b/poison/ledger_test.go
@@ -155,7 +155,7 @@
 
 // During an outage all endpoints crash again and again, with other requests running each
 // time. The number of records stays bounded, and a blocked content stays blocked.
-func TestLedgerIsBounded(t *testing.T) {
+func TestDetectorIsBounded(t *testing.T) {
 	l := newDetector()
 	for i := range 3 {
 		l.RecordCrash(at(0), bad, poison.Attempt{Endpoint: name(i), Lasted: soon})
--- a/router/plain_test.go
+++ b/router/plain_test.go
@@ -46,10 +46,10 @@
 	})
 }
 
-// TestUnreachableWorker: an endpoint that has just crashed accepts no connection and
+// TestUnreachableEndpoint: an endpoint that has just crashed accepts no connection and
 // receives nothing of the call. Even a non-idempotent call must then be sent to another
 // endpoint.
-func TestUnreachableWorker(t *testing.T) {
+func TestUnreachableEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{call: func(_ context.Context, e *router.Endpoint) (*router.Answer, error) {
 			if e.ID == "a" {
@@ -89,10 +89,10 @@
 	})
 }
 
-// TestHangingWorker: one endpoint accepts calls and never answers. An idempotent call
+// TestHangingEndpoint: one endpoint accepts calls and never answers. An idempotent call
 // must be tried elsewhere while there is time, and further calls must avoid the endpoint
 // for a while.
-func TestHangingWorker(t *testing.T) {
+func TestHangingEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeEndpoints{}
 		r := newRouter(f, plain("a"), plain("b"))
