--- a/gossip/members.go
+++ b/gossip/members.go
@@ -24,7 +24,8 @@
 	// mentions of an entry in a fleet of a thousand.
 	forgetTimeout = 30 * time.Second
 	// maxPeers bounds the entries that one entry reports to. The connections to and from one
-	// of them take 60 kB, all together 6 MB of the 32 MB that control traffic may take.
+	// of them take 60 kB of memory, all together 6 MB of the 32 MB of memory that a daemon may
+	// spend on control.
 	maxPeers = 96
 	// remotePeers is the number of them reserved for other data centres, so that the reports
 	// between data centres do not grow with the fleet.
--- a/router/others_test.go
+++ b/router/others_test.go
@@ -68,7 +68,7 @@
 // Viewing 120 engines took 0.207 ms of CPU time with 67 other entries, 0.016 ms with 3.
 func TestViewCostIndependentOfPeers(t *testing.T) {
 	ids := engineIDs()
-	least := func(others int) time.Duration {
+	minViewTime := func(others int) time.Duration {
 		l := loadsWithPeers(others, manyEngines)
 		best := time.Hour
 		for range 200 {
@@ -78,7 +78,7 @@
 		}
 		return best
 	}
-	few, many := least(3), least(67)
+	few, many := minViewTime(3), minViewTime(67)
 	t.Logf("%v beside 3 others, %v beside 67", few, many)
 	assert.Less(t, many, 4*few)
 }
--- a/router/place_test.go
+++ b/router/place_test.go
@@ -35,15 +35,15 @@
 		}
 		r.Loads().UpdateModel(llm, func(m *estimate.EngineModel) { m.RecordHandoff(false, 12*time.Millisecond) })
 	}
-	const usual = 39 * time.Millisecond
+	const expectedGap = 39 * time.Millisecond
 	for range 100 {
-		for range 25 { // most engines have the usual speed
-			r.Loads().RecordGap(now, engine("usual", router.Decode), llm, 2, usual)
+		for range 25 { // most engines run at the expected speed
+			r.Loads().RecordGap(now, engine("expected", router.Decode), llm, 2, expectedGap)
 		}
-		r.Loads().RecordGap(now, engine("d", router.Decode), llm, 2, time.Duration(float64(usual)*slowdown))
+		r.Loads().RecordGap(now, engine("d", router.Decode), llm, 2, time.Duration(float64(expectedGap)*slowdown))
 	}
 	for range 20 {
-		r.Loads().UpdateModel(llm, func(m *estimate.EngineModel) { m.RecordGapWithPrefill(2, usual+225*time.Millisecond) })
+		r.Loads().UpdateModel(llm, func(m *estimate.EngineModel) { m.RecordGapWithPrefill(2, expectedGap+225*time.Millisecond) })
 	}
 }
 
@@ -57,7 +57,7 @@
 		streams      int
 		localPrefill bool
 	}{
-		{"an engine of usual speed", 1, 2, true},
+		{"an engine at the expected speed", 1, 2, true},
 		{"a slow engine with streams", 1.3, 2, false},
 		{"a slow engine without streams", 1.3, 0, true},
 		{"an engine with many streams", 1, 10, false},
